--- a/__tests__/engines/fixtures.ts
+++ b/__tests__/engines/fixtures.ts
@@ -8,9 +8,9 @@
 import { InstanceSet, type EngineGroup, type EnginePhase } from '../../src/routing/index.js';
 import { createDocument } from '../routing/documents.js';
 
-/** Engines and groups as the planner sees them. */
+/** Fixtures for the planner's view of engines and groups. */
 
-/** An engine and what is said of it. */
+/** An engine with the state that its sidecar reports. */
 export interface TestEngine {
   readonly host: string;
   readonly domain?: string;
@@ -48,7 +48,7 @@
   return { group: name, fencingNumber, state: isHead ? ('open' as const) : ('ready' as const) };
 }
 
-/** A group of the hosts, as long in its phase as said. */
+/** A group of the given hosts. */
 export function createGroupView(
   name: string,
   hosts: readonly string[],
@@ -72,7 +72,7 @@
   return { group, phaseAge };
 }
 
-/** Engines of an open group, which have its model and the other one at hand. */
+/** Engines of an open group. They were ready with its model, and their hosts have staged the other model. */
 export function createMembers(view: GroupView, domain: string): readonly TestEngine[] {
   const { group } = view;
   const { model, members } = group;
@@ -80,7 +80,7 @@
   return members.map(({ host }) => ({ host, domain, lastModel: model, staged, group }));
 }
 
-/** Decides with traffic, and nothing that settles or leaves. */
+/** Plans with traffic, after settling, with no engine shutting down. */
 export function planGroups(
   groups: readonly GroupView[],
   engines: readonly TestEngine[],
--- a/__tests__/engines/form-groups.test.ts
+++ b/__tests__/engines/form-groups.test.ts
@@ -2,7 +2,7 @@
 
 import { createGroupView, planGroups, type TestEngine } from './fixtures.js';
 
-/** Groups whose engines are not heard of, so that only the free ones count. */
+/** A group whose engines have no reports, so that only the free engines are available. */
 function createGroup(number: number, model: string, size: number) {
   const hosts = Array.from({ length: size }, (_, index) => `${model}-${number}-${index}`);
   return createGroupView(`${model}/${number}`, hosts);
@@ -26,27 +26,27 @@
   ['small', 50],
 ]);
 
-describe('groups from free engines', () => {
+describe('groups formed from free engines', () => {
   /**
-   * Symptom: one group is left of a model that needs two, and its callers wait for seconds, while four engines that had that model
-   * last form two groups of the other model as a reserve.
+   * Guards against this failure: a model that needs two groups has only one and its callers wait for seconds, while four engines that
+   * last had that model form two groups of the other model as a reserve.
    */
-  it('are of the model that lacks groups, before any reserve', () => {
+  it('go to the model that lacks groups before any reserve is formed', () => {
     const free = ['a', 'b', 'c', 'd'].map((host) => createEngine(host, 'large', 'small'));
     expect(place(free, demand)).toEqual(['large: a,b,c,d']);
   });
 
-  it('are a reserve of another model where the one that lacks groups cannot form one', () => {
+  it('form a reserve of another model if the model that lacks groups cannot form one', () => {
     const free = ['a', 'b', 'c'].map((host) => createEngine(host, 'large', 'small'));
     expect(place(free, demand)).toEqual(['small: a,b']);
   });
 
-  it('take no engine that would have to load the weights first', () => {
+  it('exclude engines that would have to load the weights first', () => {
     const free = ['a', 'b', 'c', 'd'].map((host) => createEngine(host, 'other', 'other'));
     expect(place(free, demand)).toEqual([]);
   });
 
-  it('take those first that join in the shortest time', () => {
+  it('use the engines that can join soonest', () => {
     const free = [
       ...['a', 'b', 'c'].map((host) => createEngine(host, 'small', 'large')),
       ...['d', 'e', 'f'].map((host) => createEngine(host, 'large', 'small')),
--- a/__tests__/engines/histories.test.ts
+++ b/__tests__/engines/histories.test.ts
@@ -3,11 +3,11 @@
 import { createRandomSource, type RandomSource } from '../../src/common/index.js';
 import { EngineWorld, type WorldOptions } from './world.js';
 
-/** Histories for each run of the tests; more by hand with the variable. */
+/** Number of random histories per test; the environment variable sets a larger number for manual runs. */
 const histories = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? '40');
-const faultsInHistory = 14;
+const faultsPerHistory = 14;
 
-function pick<Item>(random: RandomSource, items: readonly Item[]): Item {
+function pickRandom<Item>(random: RandomSource, items: readonly Item[]): Item {
   const item = items[random.integerBelow(items.length)];
   if (item === undefined) {
     throw new Error('nothing to pick from');
@@ -15,56 +15,56 @@
   return item;
 }
 
-function strike(world: EngineWorld, random: RandomSource): void {
-  const host = pick(random, world.hosts);
+function injectFault(simulation: EngineWorld, random: RandomSource): void {
+  const host = pickRandom(random, simulation.hosts);
   switch (random.integerBelow(8)) {
     case 0:
     case 1:
-      world.killEngine(host);
+      simulation.killEngine(host);
       return;
     case 2:
     case 3:
-      world.restartEngine(host);
+      simulation.restartEngine(host);
       return;
     case 4:
-      world.restartSidecar(host);
+      simulation.restartSidecar(host);
       return;
     case 5:
-      host.isCut = !host.isCut;
+      host.isPartitioned = !host.isPartitioned;
       return;
     case 6:
-      world.drain(host);
+      simulation.drain(host);
       return;
     default:
-      world.changeLeader();
+      simulation.changeLeader();
   }
 }
 
-function playHistory(seed: number, mutate?: WorldOptions['mutate']): EngineWorld {
+function runHistory(seed: number, mutate?: WorldOptions['mutate']): EngineWorld {
   const random = createRandomSource(seed);
-  const mutant = mutate === undefined ? {} : { mutate };
-  const options = { random, hostCount: 20, domainSize: 10, lateOrders: 0.15, ...mutant };
-  const world = new EngineWorld(options);
-  world.run(6000);
-  for (let fault = 0; fault < faultsInHistory; fault += 1) {
-    strike(world, random);
-    world.run(100 + random.integerBelow(2500));
+  const mutation = mutate === undefined ? {} : { mutate };
+  const options = { random, hostCount: 20, domainSize: 10, lateOrders: 0.15, ...mutation };
+  const simulation = new EngineWorld(options);
+  simulation.run(6000);
+  for (let fault = 0; fault < faultsPerHistory; fault += 1) {
+    injectFault(simulation, random);
+    simulation.run(100 + random.integerBelow(2500));
   }
-  world.hosts.forEach((host) => {
-    host.isCut = false;
+  simulation.hosts.forEach((host) => {
+    host.isPartitioned = false;
   });
-  world.run(20_000);
-  return world;
+  simulation.run(20_000);
+  return simulation;
 }
 
-describe('groups of engines under random losses, restarts, cuts, drains and late orders', () => {
+describe('groups of engines under random losses, restarts, partitions, drains and delayed orders', () => {
   /**
-   * What could go wrong: a head is opened while a member never joined (answers come from a part of the model), or a member
-   * is taken into another group while the head of its own still serves.
+   * Guards against two failures: a head opens although a member never joined, so that answers come from a part of the model; or a member
+   * joins another group while the head of its own group still serves.
    */
-  it('never opens a part of a group and never splits one that serves', () => {
+  it('never opens an incomplete group and never splits a serving group', () => {
     for (let seed = 1; seed <= histories; seed += 1) {
-      const { violations } = playHistory(seed);
+      const { violations } = runHistory(seed);
       expect({ seed, violations }).toEqual({ seed, violations: [] });
     }
   });
@@ -91,34 +91,38 @@
         ],
       }),
     ],
-  ])('sees a planner that %s', (_, mutate) => {
+  ])('detects a planner that %s', (_, mutate) => {
     const seeds = Array.from({ length: 20 }, (__, index) => index + 1);
-    const found = seeds.some((seed) => playHistory(seed, mutate).violations.length > 0);
+    const found = seeds.some((seed) => runHistory(seed, mutate).violations.length > 0);
     expect(found).toBe(true);
   });
 
-  it('serves again after the faults wherever enough engines are left', () => {
+  it('serves again after the faults if enough engines are left', () => {
     for (let seed = 1; seed <= histories; seed += 1) {
-      const world = playHistory(seed);
+      const simulation = runHistory(seed);
       const largest = Math.max(
         ...['d0', 'd1'].map((domain) => {
-          return world.hosts.filter((host) => host.domain === domain && host.engine.isAlive).length;
+          return simulation.hosts.filter((host) => host.domain === domain && host.engine.isAlive)
+            .length;
         }),
       );
-      // Of draining engines the world does not say which are left, so this asks only where many are alive.
+      // The simulation does not tell which of the live engines are draining, so this is checked only if many are alive.
       if (largest >= 8) {
-        expect({ seed, isServing: world.openGroups.length > 0 }).toEqual({ seed, isServing: true });
+        expect({ seed, isServing: simulation.openGroups.length > 0 }).toEqual({
+          seed,
+          isServing: true,
+        });
       }
     }
   });
 
-  it('forms both models within the time before the first request', () => {
+  it('forms groups of both models before the first request', () => {
     const random = createRandomSource(7);
-    const world = new EngineWorld({ random, hostCount: 30, domainSize: 10, lateOrders: 0 });
-    world.run(6000);
-    const models = new Set(world.openGroups.map(({ model }) => model));
+    const simulation = new EngineWorld({ random, hostCount: 30, domainSize: 10, lateOrders: 0 });
+    simulation.run(6000);
+    const models = new Set(simulation.openGroups.map(({ model }) => model));
     expect([...models].sort()).toEqual(['large', 'small']);
-    const members = world.openGroups.flatMap((group) => group.members.map(({ host }) => host));
+    const members = simulation.openGroups.flatMap((group) => group.members.map(({ host }) => host));
     expect(new Set(members).size).toBe(members.length);
   });
 });
--- a/__tests__/engines/give-away.test.ts
+++ b/__tests__/engines/rebalancing.test.ts
@@ -2,8 +2,8 @@
 
 import { createGroupView, createMembers, planGroups } from './fixtures.js';
 
-/** Three groups of four and two of two, all open. */
-function plan(demand: ReadonlyMap<string, number>) {
+/** Plans with three groups of four engines and two groups of two, all open. */
+function planWithDemand(demand: ReadonlyMap<string, number>) {
   const groups = [
     createGroupView('large/1', ['a', 'b', 'c', 'd']),
     createGroupView('large/2', ['e', 'f', 'g', 'h']),
@@ -15,13 +15,13 @@
   return planGroups(groups, engines, demand, { nextNumber: 6 });
 }
 
-describe('engines that go from one model to another', () => {
+describe('moving engines from one model to another', () => {
   /**
-   * Symptom: callers of one model are refused while groups of another stand idle. The declaration gave both the same share, one
-   * is asked for four times as often, and groups that are lost are made good as declared.
+   * Guards against this failure: callers of one model are refused while groups of another are idle. Both models had the same declared
+   * share, but one had four times the demand, and lost groups were replaced according to the declared shares.
    */
   it('drains a group of the model that can spare it', () => {
-    const { advance } = plan(
+    const { advance } = planWithDemand(
       new Map([
         ['large', 8],
         ['small', 60],
@@ -31,7 +31,7 @@
   });
 
   it('leaves the groups alone while the other model needs its own', () => {
-    const { advance } = plan(
+    const { advance } = planWithDemand(
       new Map([
         ['large', 40],
         ['small', 60],
@@ -41,7 +41,7 @@
   });
 
   it('leaves the groups alone while the demand is met', () => {
-    const { advance } = plan(
+    const { advance } = planWithDemand(
       new Map([
         ['large', 8],
         ['small', 10],
--- a/__tests__/engines/settling.test.ts
+++ b/__tests__/engines/settling.test.ts
@@ -24,8 +24,8 @@
 
 describe('the first placement', () => {
   /**
-   * Symptom: the groups of four open in the very moment of the first request. Engines came up one after the other, the first two
-   * formed a group of two, and so on; then two groups of two were given up for each group of four.
+   * Guards against this failure: the groups of four open only at the moment of the first request. Engines started one after another, the
+   * first two formed a group of two, and so on; later, two groups of two were dissolved for each group of four.
    */
   it('waits until all engines that have a sidecar answer', () => {
     const settling = new Settling();
@@ -36,13 +36,13 @@
     expect(settling.isSettling(createViews(29, 1), 2700)).toBe(false);
   });
 
-  it('does not wait for ever for an engine that does not come', () => {
+  it('does not wait forever for an engine that never answers', () => {
     const settling = new Settling();
     expect(settling.isSettling(createViews(29, 1), 0)).toBe(true);
     expect(settling.isSettling(createViews(29, 1), 4500)).toBe(false);
   });
 
-  it('waits for nothing where groups were placed before', () => {
+  it('does not wait if groups were placed before', () => {
     const settling = new Settling();
     settling.end();
     expect(settling.isSettling(createViews(1, 29), 0)).toBe(false);
--- a/__tests__/engines/staging.test.ts
+++ b/__tests__/engines/staging.test.ts
@@ -2,7 +2,7 @@
 
 import { createGroupView, createMembers, planGroups, type TestEngine } from './fixtures.js';
 
-/** Six engines in open groups whose hosts lack the other model, and as many that came empty as are said. */
+/** Hosts with staging orders, given six engines in open groups whose hosts lack the other model and some idle engines without weights. */
 function planLoads(empty: number, loadsAllowed: number): readonly string[] {
   const groups = [1, 2, 3].map((number) =>
     createGroupView(`small/${number}`, [`s${number}a`, `s${number}b`]),
@@ -23,17 +23,17 @@
 
 describe('loads from the weight store', () => {
   /**
-   * Symptom: engines that came empty stand idle for 23 s, though a load takes 16 s. Hosts that served had ordered the weights of the
-   * other model a moment before, and the store gives six loads at full speed.
+   * Guards against this failure: engines that start without weights are idle for 23 s although a load takes 16 s. Serving hosts had just
+   * begun to load the other model, and the weight store runs only six loads at full speed.
    */
-  it('go to empty engines first, and leave room for the next that come', () => {
+  it('go to engines without weights first and leave a reserve for later ones', () => {
     expect(planLoads(0, 6)).toHaveLength(1);
     expect(planLoads(2, 6).filter((host) => host.startsWith('s'))).toEqual([]);
     expect(planLoads(2, 6).toSorted()).toEqual(['e0', 'e1']);
     expect(planLoads(3, 2)).toEqual(['e0', 'e1']);
   });
 
-  it('go to hosts that serve only while the store is quiet', () => {
+  it('go to serving hosts only if the reserve for idle hosts remains', () => {
     expect(planLoads(0, 5)).toEqual([]);
   });
 });
--- a/__tests__/engines/survivors.test.ts
+++ b/__tests__/engines/survivors.test.ts
@@ -9,7 +9,7 @@
   type TestEngine,
 } from './fixtures.js';
 
-/** Callers of both models; the large one needs two groups and a reserve, the small one four and a reserve. */
+/** Demand for both models: the large one needs two groups and a reserve, the small one four and a reserve. */
 const demand = new Map([
   ['large', 25],
   ['small', 52],
@@ -26,7 +26,7 @@
   return { host, domain: 'd0', lastModel: 'large', staged: 'small' };
 });
 
-describe('what is left of a lost group', () => {
+describe('the remaining engines of a lost group', () => {
   const large = [
     createGroupView('large/1', ['d1-a', 'd1-b', 'd1-c', 'd1-d']),
     createGroupView('large/2', ['d2-a', 'd2-b', 'd2-c', 'd2-d']),
@@ -42,39 +42,39 @@
   ];
 
   /**
-   * Symptom: callers of the model with the large groups wait for seconds, while the small one has a third more groups than it
-   * needs. Each time that a large group loses a member, two of the three survivors form one more small group; the large model
-   * gets no group back until it lacks what is asked for at that moment, and then only while no other group is on its way.
+   * Guards against this failure: callers of the large model wait for seconds while the small model has a third more groups than it needs.
+   * Each time a large group lost a member, two of the three survivors formed another small group. The large model got a group back only
+   * when it already lacked capacity, and only while no other group was being formed.
    */
-  it('gets a group of another model that has more than it needs', () => {
+  it('are completed with engines of a model that has more groups than it needs', () => {
     const { place, advance } = planGroups(groups, engines, demand);
     expect(place).toEqual([]);
     expect(advance).toMatchObject([
-      { phase: 'draining', reason: 'large needs their engines more' },
+      { phase: 'draining', reason: 'its engines are needed for large' },
     ]);
     expect(here.map(({ group }) => group.name)).toContain(advance[0]?.name);
   });
 
-  it('gets none while nothing is known of the demand', () => {
+  it('cause no drain while the demand is unknown', () => {
     const { advance } = planGroups(groups, engines, new Map());
     expect(advance).toEqual([]);
   });
 
-  it('is kept for it while that group drains', () => {
+  it('are reserved while that group drains', () => {
     const draining = createGroupView('small/10', ['d0-s0a', 'd0-s0b'], 'draining', 500);
     const later = [...large, draining, ...here.slice(1), ...there];
     const { place, advance } = planGroups(later, engines, demand);
     expect({ place, advance }).toEqual({ place: [], advance: [] });
   });
 
-  it('forms the group once the drained engines are free', () => {
+  it('form the group once the drained engines are free', () => {
     const later = [...large, ...here.slice(1), ...there];
     const { place } = planGroups(later, engines, demand);
     expect(place).toMatchObject([{ model: 'large' }]);
     expect(place[0]?.members.slice(0, 3).map(({ host }) => host)).toEqual(['x', 'y', 'z']);
   });
 
-  it('stands by where no model needs more', () => {
+  it('stay idle if no model needs more groups', () => {
     const three = [...large, createGroupView('large/3', ['d3-a', 'd3-b', 'd3-c', 'd3-d'])];
     const enough = [...three, ...here, ...there];
     const { place, advance } = planGroups(enough, engines, demand);
@@ -82,13 +82,13 @@
   });
 });
 
-describe('engines that are too few for all', () => {
+describe('engines that are too few for all models', () => {
   /**
-   * Symptom: callers of the model with the large groups find no group for half a minute, while the other model has as many as it can
-   * use. Both had too few; a small group brings as many places as a large one for half of the engines, so each engine that came free went
+   * Guards against this failure: callers of the large model find no group for half a minute while the small model has as many as it can
+   * use. Both had too few. A small group adds as many slots as a large one with half the engines, so each engine that became free went
    * to the small model.
    */
-  it('go to the model whose callers find least', () => {
+  it('go to the model with the lowest coverage', () => {
     const small = createSmallGroups('d1', 4);
     const engines = [
       ...small.flatMap((view) => createMembers(view, 'd1')),
@@ -102,7 +102,7 @@
   });
 });
 
-describe('a model that is short itself', () => {
+describe('a model that lacks capacity itself', () => {
   const large = createGroupView('large/1', ['d1-a', 'd1-b', 'd1-c', 'd1-d']);
   const small = createSmallGroups('d0', 5);
   const idle = ['x', 'y'].map((host) => ({ host, lastModel: 'large', staged: 'large' }));
@@ -113,21 +113,22 @@
   ];
 
   /**
-   * Symptom: for twenty seconds one group of the large model is left for the callers of two and a half, and nothing is planned, while two
-   * idle engines and any group of the small model would form another. The small model lacked a little itself, so it gave none.
+   * Guards against this failure: for twenty seconds the large model has one group and demand for two and a half, and nothing is planned,
+   * although two idle engines and any group of the small model could form another. The small model slightly lacked capacity itself, so it
+   * gave up no group.
    */
-  it('gives a group to one whose callers find much less', () => {
+  it('gives up a group to a model with much lower coverage', () => {
     const asked = new Map([
       ['large', 40],
       ['small', 88],
     ]);
     const { advance } = planGroups([large, ...small], engines, asked);
     expect(advance).toMatchObject([
-      { phase: 'draining', reason: 'large needs their engines more' },
+      { phase: 'draining', reason: 'its engines are needed for large' },
     ]);
   });
 
-  it('gives none to one whose callers find little less', () => {
+  it('gives up no group to a model with slightly lower coverage', () => {
     const asked = new Map([
       ['large', 22],
       ['small', 100],
@@ -156,21 +157,21 @@
   );
 
   /**
-   * Symptom: all answers of a group come five times as late for as long as one of its engines is slow. A group works at the pace
-   * of its slowest member, and nothing looked at the pace.
+   * Guards against this failure: all answers of a group take five times as long while one of its engines is slow. A group runs at the
+   * speed of its slowest member, and planning ignored the speed.
    */
-  it('leave a group for one that stands by', () => {
+  it('are replaced by an idle engine', () => {
     const spare = { host: 'e', lastModel: 'small', staged: 'large' };
     const { advance } = planGroups(groups, [...engines, spare], demand);
     expect(advance).toMatchObject([{ name: 'small/1', phase: 'draining' }]);
   });
 
-  it('stay where nothing could take their place', () => {
+  it('stay in their group if there is no replacement', () => {
     const { advance } = planGroups(groups, engines, demand);
     expect(advance).toEqual([]);
   });
 
-  it('are taken into no group', () => {
+  it('are not placed in new groups', () => {
     const free = { host: 'f', lastModel: 'small', staged: 'large' };
     const { place } = planGroups([], [free, { ...free, host: 'g', slowdown: 5 }], demand);
     expect(place).toEqual([]);
@@ -193,10 +194,10 @@
   }
 
   /**
-   * Symptom: streams break off when a group is given away. The head had said that it was idle a second before the drain began, and the group
-   * was closed on that.
+   * Guards against this failure: streams are interrupted when a group is drained for another model. The head had reported that it was idle
+   * a second before the drain began, and the group was closed based on that report.
    */
-  it('is closed once its head says after the drain began that it is idle', () => {
+  it('is closed once its head reports after the start of the drain that it is idle', () => {
     expect(drainWith(0, 350)).toEqual([]);
     expect(drainWith(3, 50)).toEqual([]);
     expect(drainWith(0, 50)).toMatchObject([{ phase: 'closing', reason: 'drained' }]);
--- a/__tests__/engines/unknown-engines.test.ts
+++ b/__tests__/engines/unknown-engines.test.ts
@@ -6,47 +6,41 @@
 import { createEngineView, createGroupView, createMembers, planGroups } from './fixtures.js';
 import { EngineWorld } from './world.js';
 
-/** Histories for each run of the tests; more by hand with the variable. */
+/** Number of random histories per test; the environment variable sets a larger number for manual runs. */
 const histories = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? '20');
-const restartsInHistory = 10;
-/** A sidecar that has just started gets the first answer within a few hundred milliseconds. */
-const longestAnswer = 300;
-const faultsInHistory = 20;
+const restartsPerHistory = 10;
+/** A sidecar that has just started gets its first answer within a few hundred milliseconds. */
+const maximumAnswerDelay = 300;
+const faultsPerHistory = 20;
 
 /**
- * An engine was joined to a second group while the head of its first one still served, and so was the head itself. The sidecar beside that
- * head had just started again. It knew who leads control before it had asked its engine for the first time, so its first report named no
- * engine. The leader took that for the end of the engine: it closed the group, and when it looked at the same report once more it took the
- * head for gone and gave its engines to another group. The reports that the leader logs with such a step settled it:
- *
- *     9.164 sidecar  leader of control changed
- *     9.172 control  small/5 closing, a member was lost
- *     9.174 sidecar  engine instance changed, membership changed: small/5 open
- *     9.183 control  small/5 removed, the head is gone; both engines placed in small/17
- *     9.045 control  closing, a member was lost: "reports":["side-10: small/5 open, 841 ms ago","side-7: notAsked, 0 ms ago"]
+ * Guards against this failure: a head and another engine of its group join a second group while the head still serves the first. The
+ * sidecar of the head had just restarted and knew the leader of control before it had queried its engine, so its first report had no
+ * reading (`notAsked`). The leader took that for the end of the engine: it closed the group, then evaluated the same report again, took
+ * the head for gone, and placed the engines in another group 11 ms after the group began to close.
  */
-describe('a sidecar that starts again beside an engine that serves, and reports before it was answered', () => {
-  it('leaves the group of the engine as it is', () => {
+describe('a sidecar that restarts next to a serving engine and reports before the engine has answered', () => {
+  it('does not affect the group of the engine', () => {
     for (let seed = 1; seed <= histories; seed += 1) {
       const random = createRandomSource(seed);
-      const world = new EngineWorld({ random, hostCount: 20, domainSize: 10, lateOrders: 0 });
-      world.run(6000);
-      const before = world.openGroups.map(({ name }) => name);
-      for (let restart = 0; restart < restartsInHistory; restart += 1) {
-        const host = world.hosts[random.integerBelow(world.hosts.length)];
+      const simulation = new EngineWorld({ random, hostCount: 20, domainSize: 10, lateOrders: 0 });
+      simulation.run(6000);
+      const before = simulation.openGroups.map(({ name }) => name);
+      for (let restart = 0; restart < restartsPerHistory; restart += 1) {
+        const host = simulation.hosts[random.integerBelow(simulation.hosts.length)];
         if (host !== undefined) {
-          world.restartSidecarThatReportsFirst(host, random.integerBelow(longestAnswer));
+          simulation.restartSidecarThatReportsFirst(host, random.integerBelow(maximumAnswerDelay));
         }
-        world.run(500);
+        simulation.run(500);
       }
-      const after = world.openGroups.map(({ name }) => name);
-      expect({ seed, violations: world.violations }).toEqual({ seed, violations: [] });
+      const after = simulation.openGroups.map(({ name }) => name);
+      expect({ seed, violations: simulation.violations }).toEqual({ seed, violations: [] });
       expect({ seed, after }).toEqual({ seed, after: before });
     }
   });
 });
 
-/** An engine whose sidecar reports why it knows nothing of it. */
+/** An engine without a reading; its sidecar reports the reason. */
 function createAbsentView(host: string, absence: EngineAbsence): [string, EngineView] {
   const [, { facts }] = createEngineView({ host, lastModel: 'small', staged: 'large' });
   const { failureDomain, address, service } = facts;
@@ -60,8 +54,8 @@
   readonly isLeaving?: boolean;
 }
 
-/** Steps for a group of two of which one member is absent. */
-function planBeside(absence: EngineAbsence, member: AbsentMember): readonly string[] {
+/** Planned changes for a group of two with one member that has no reading. */
+function planWithAbsentMember(absence: EngineAbsence, member: AbsentMember): readonly string[] {
   const { host, phase, phaseAge = 1000, isLeaving = false } = member;
   const view = createGroupView('small/1', ['head', 'other'], phase, phaseAge);
   const engines = new Map(createMembers(view, 'd0').map(createEngineView));
@@ -75,92 +69,103 @@
 }
 
 /**
- * The leader had one word for an engine of which nothing was known and for one that had ended. The same report frees the members of a closing
- * group after a restart of a sidecar, a question that got no answer, and a liveness check that waited for a slot of a full engine.
+ * Guards against this failure: the leader did not distinguish an engine about which nothing is known from one that has ended, and freed
+ * the members of a closing group. The same report came after a sidecar restart, an unanswered query, and a liveness check that waited
+ * for a slot of a full engine.
  */
-describe('a member of which nothing is known', () => {
+describe('a member without a reading', () => {
   const unknown: readonly EngineAbsence[] = ['notAsked', 'notIdentified', 'unanswered'];
   const phases: readonly EnginePhase[] = ['joining', 'opening', 'open', 'draining', 'closing'];
 
   it.each(unknown)('changes nothing in any phase while its sidecar reports %s', (absence) => {
     for (const phase of phases) {
-      expect(planBeside(absence, { host: 'head', phase })).toEqual([]);
-      expect(planBeside(absence, { host: 'other', phase }).join()).not.toContain('removed');
+      expect(planWithAbsentMember(absence, { host: 'head', phase })).toEqual([]);
+      expect(planWithAbsentMember(absence, { host: 'other', phase }).join()).not.toContain(
+        'removed',
+      );
     }
-    expect(planBeside(absence, { host: 'other', phase: 'open' })).toEqual([]);
+    expect(planWithAbsentMember(absence, { host: 'other', phase: 'open' })).toEqual([]);
   });
 
   it.each<EngineAbsence>(['silent', 'unreadable'])(
     'closes its group while it is %s, and frees nobody',
     (absence) => {
       const step = ['closing: a member does not answer'];
-      expect(planBeside(absence, { host: 'head', phase: 'open' })).toEqual(step);
-      expect(planBeside(absence, { host: 'other', phase: 'open' })).toEqual(step);
-      expect(planBeside(absence, { host: 'head', phase: 'closing' })).toEqual([]);
+      expect(planWithAbsentMember(absence, { host: 'head', phase: 'open' })).toEqual(step);
+      expect(planWithAbsentMember(absence, { host: 'other', phase: 'open' })).toEqual(step);
+      expect(planWithAbsentMember(absence, { host: 'head', phase: 'closing' })).toEqual([]);
     },
   );
 
-  it('is gone when nothing listens at its address', () => {
-    expect(planBeside('refused', { host: 'other', phase: 'open' })).toEqual([
+  it('is lost if nothing listens at its address', () => {
+    expect(planWithAbsentMember('refused', { host: 'other', phase: 'open' })).toEqual([
       'closing: a member was lost',
     ]);
-    expect(planBeside('refused', { host: 'head', phase: 'closing' })).toEqual([
+    expect(planWithAbsentMember('refused', { host: 'head', phase: 'closing' })).toEqual([
       'removed: the head has ended',
     ]);
   });
 
-  /** A head that leaves stops listening before it has ended its last work, and serves its group until then. */
-  it('may still work for some seconds after it refused a connection when it leaves', () => {
+  /** A head that is shutting down stops listening before it has finished its last requests, and serves its group until then. */
+  it('may still serve for some seconds after refusing a connection if it is shutting down', () => {
     const head = { host: 'head', phase: 'closing', isLeaving: true } as const;
-    expect(planBeside('refused', { ...head, phaseAge: 10_000 })).toEqual([]);
-    expect(planBeside('refused', { ...head, phaseAge: 10_001 })).toEqual([
+    expect(planWithAbsentMember('refused', { ...head, phaseAge: 10_000 })).toEqual([]);
+    expect(planWithAbsentMember('refused', { ...head, phaseAge: 10_001 })).toEqual([
       'removed: the head has ended',
     ]);
   });
 });
 
-/** Engines hang, cannot be identified, or get a new sidecar that reports first, beside the losses of other engines. */
-function strike(world: EngineWorld, random: RandomSource): void {
-  const host = world.hosts[random.integerBelow(world.hosts.length)];
+/** Makes an engine hang or unidentifiable, restarts its sidecar so that it reports first, restarts an engine, or changes the leader. */
+function injectFault(simulation: EngineWorld, random: RandomSource): void {
+  const host = simulation.hosts[random.integerBelow(simulation.hosts.length)];
   if (host === undefined) {
     return;
   }
   switch (random.integerBelow(7)) {
     case 0:
     case 1:
-      world.restartSidecarThatReportsFirst(host, random.integerBelow(3 * longestAnswer));
+      simulation.restartSidecarThatReportsFirst(host, random.integerBelow(3 * maximumAnswerDelay));
       return;
     case 2:
     case 3:
-      host.answers = host.answers === 'read' ? 'unanswered' : 'read';
+      host.readResult = host.readResult === 'read' ? 'unanswered' : 'read';
       return;
     case 4:
-      host.answers = host.answers === 'read' ? 'notIdentified' : 'read';
+      host.readResult = host.readResult === 'read' ? 'notIdentified' : 'read';
       return;
     case 5:
-      world.restartEngine(host);
+      simulation.restartEngine(host);
       return;
     default:
-      world.changeLeader();
+      simulation.changeLeader();
   }
 }
 
-describe('groups of engines of which nothing is known at times', () => {
+describe('groups of engines whose readings are missing at times', () => {
   it('are never split, and serve again once the engines answer', () => {
     for (let seed = 1; seed <= histories; seed += 1) {
       const random = createRandomSource(seed);
-      const world = new EngineWorld({ random, hostCount: 20, domainSize: 10, lateOrders: 0.1 });
-      world.run(6000);
-      for (let fault = 0; fault < faultsInHistory; fault += 1) {
-        strike(world, random);
-        world.run(100 + random.integerBelow(1500));
+      const simulation = new EngineWorld({
+        random,
+        hostCount: 20,
+        domainSize: 10,
+        lateOrders: 0.1,
+      });
+      simulation.run(6000);
+      for (let fault = 0; fault < faultsPerHistory; fault += 1) {
+        injectFault(simulation, random);
+        simulation.run(100 + random.integerBelow(1500));
       }
-      world.hosts.forEach((host) => {
-        host.answers = 'read';
+      simulation.hosts.forEach((host) => {
+        host.readResult = 'read';
+      });
+      simulation.run(10_000);
+      expect({ seed, violations: simulation.violations }).toEqual({ seed, violations: [] });
+      expect({ seed, isServing: simulation.openGroups.length > 5 }).toEqual({
+        seed,
+        isServing: true,
       });
-      world.run(10_000);
-      expect({ seed, violations: world.violations }).toEqual({ seed, violations: [] });
-      expect({ seed, isServing: world.openGroups.length > 5 }).toEqual({ seed, isServing: true });
     }
   });
 });
--- a/__tests__/engines/world.ts
+++ b/__tests__/engines/world.ts
@@ -17,14 +17,14 @@
 import { createDocument, engineProfile } from '../routing/documents.js';
 
 /**
- * Engines as they behave, with the real controllers of sidecars and the real planner and state of control, in one simulated time.
- * Reports and orders take time, are lost or come late, as the settings of the world say.
+ * Simulates engines in virtual time, together with the real controllers of sidecars and the real planner and state of control.
+ * Reports and orders are delayed according to the options; reports of partitioned hosts are lost.
  */
 
 const rejoinDuration: Milliseconds = 200;
 const stallDuration: Milliseconds = 6000;
-/** Loads take this part of their time before the first request. */
-const earlyLoadShare = 0.1;
+/** Before the first request, a load takes this fraction of its usual time. */
+const earlyLoadFactor = 0.1;
 
 interface SimulatedGroup {
   readonly name: string;
@@ -43,7 +43,7 @@
   lastModel: string | undefined;
   stagingModel: string | undefined;
   stagedAt = 0;
-  highestFence = 0;
+  highestFencingNumber = 0;
 
   constructor(
     readonly instance: string,
@@ -60,18 +60,18 @@
   readonly run: () => void;
 }
 
-/** One host: an engine and the sidecar beside it. */
+/** One host with an engine and its sidecar. */
 class SimulatedHost {
   engine: SimulatedEngine;
   controller: EngineController;
   incarnation = 0;
   sequence = 0;
   isSidecarAlive = true;
-  isCut = false;
-  /** What comes of a question to an engine that runs. */
-  answers: 'read' | 'unanswered' | 'notIdentified' = 'read';
-  /** Until then the sidecar waits for the first answer of its engine. */
-  answersFrom: Milliseconds = 0;
+  isPartitioned = false;
+  /** Result when the sidecar queries a running engine. */
+  readResult: 'read' | 'unanswered' | 'notIdentified' = 'read';
+  /** Time until which the sidecar waits for the first answer of its engine. */
+  readableFrom: Milliseconds = 0;
 
   constructor(
     readonly name: string,
@@ -82,16 +82,16 @@
   }
 }
 
-/** How unkind the world is. */
+/** Size of the simulated system and the faults in it. */
 export interface WorldOptions {
   readonly random: RandomSource;
   readonly hostCount: number;
   readonly domainSize: number;
-  /** Part of the orders that get no answer and are carried out seconds later. */
+  /** Fraction of the orders that get no answer and are executed seconds later. */
   readonly lateOrders: number;
-  /** Requests that want to run at one moment, by model, once there is traffic. */
+  /** Demand in concurrent requests, by model, once there is traffic. */
   readonly demand?: ReadonlyMap<string, number>;
-  /** A fault put into each decision, to show that the checks see it. */
+  /** Injects a fault into each decision, to show that the checks detect it. */
   readonly mutate?: (decision: EngineDecision, groups: readonly EngineGroup[]) => EngineDecision;
 }
 
@@ -99,14 +99,14 @@
   readonly violations: string[] = [];
   readonly hosts: SimulatedHost[] = [];
   now: Milliseconds = 0;
-  /** From then on loads take their whole time, and are limited. */
+  /** Once set, loads take their full time and are limited. */
   hasTraffic = false;
   state: ControlState;
   readonly #options: WorldOptions;
   #scheduled: Scheduled[] = [];
   #directory = new EngineDirectory();
   #phases = new Map<string, { readonly phase: string; readonly since: Milliseconds }>();
-  /** Members that were ready, by group and fencing number. */
+  /** Members that have been ready, by group and fencing number. */
   readonly #ready = new Map<string, Set<string>>();
   readonly #leaving = new InstanceSet();
   readonly #loads = new LoadBudget();
@@ -126,7 +126,7 @@
     return [...this.state.routing.engineGroups.values()].filter(({ phase }) => phase === 'open');
   }
 
-  /** Lets time pass in steps of 20 ms: sidecars ask their engines, control plans. */
+  /** Advances time in steps of 20 ms, in which sidecars query their engines and control plans. */
   run(duration: Milliseconds): void {
     const end = this.now + duration;
     while (this.now < end) {
@@ -140,7 +140,7 @@
     }
   }
 
-  /** A host with an engine that has no weights. */
+  /** Adds a host with an engine that has no weights. */
   addHost(domain: string): void {
     this.hosts.push(new SimulatedHost(`h${this.hosts.length}`, domain));
   }
@@ -155,7 +155,7 @@
     host.engine.staged = staged;
   }
 
-  /** The engine starts again under the id that it had. */
+  /** Restarts the engine under the same id. */
   restartEngineUnderItsId(host: SimulatedHost): void {
     const { staged, instance } = host.engine;
     host.engine = new SimulatedEngine(instance, this.now);
@@ -168,10 +168,10 @@
     host.sequence = 0;
   }
 
-  /** As above, and it reports to the leader of control before its engine has answered, which takes the time said. */
+  /** Restarts the sidecar, which reports to the leader of control before its engine first answers, after the given delay. */
   restartSidecarThatReportsFirst(host: SimulatedHost, answerDelay: Milliseconds): void {
     this.restartSidecar(host);
-    host.answersFrom = this.now + answerDelay;
+    host.readableFrom = this.now + answerDelay;
     this.#report(host);
   }
 
@@ -179,7 +179,7 @@
     this.#leaving.add(host.engine.identity);
   }
 
-  /** Another control host leads: it knows the state, and nothing that was reported. */
+  /** Another control host becomes leader. It has the replicated state but no reports. */
   changeLeader(): void {
     this.#directory = new EngineDirectory();
     this.#phases = new Map();
@@ -198,18 +198,18 @@
   }
 
   #stepSidecar(host: SimulatedHost): void {
-    if (!host.isSidecarAlive || this.now < host.answersFrom) {
+    if (!host.isSidecarAlive || this.now < host.readableFrom) {
       return;
     }
     const { controller } = host;
-    if (!host.isCut) {
+    if (!host.isPartitioned) {
       const group = [...this.state.routing.engineGroups.values()].find(({ members }) =>
         members.some((member) => member.host === host.name),
       );
       controller.handle({ type: 'assigned', group });
     }
     const order = controller.handle(this.#ask(host));
-    if (!host.isCut) {
+    if (!host.isPartitioned) {
       this.#report(host);
     }
     if (order !== undefined) {
@@ -221,7 +221,7 @@
     if (!host.engine.isAlive) {
       return { type: 'refused' };
     }
-    switch (host.answers) {
+    switch (host.readResult) {
       case 'read':
         return { type: 'read', now: this.now, reading: this.#read(host) };
       case 'unanswered':
@@ -275,11 +275,11 @@
     const isLate = this.#options.random.fraction() < this.#options.lateOrders;
     const delay = isLate ? 2000 + this.#options.random.integerBelow(10_000) : 0;
     this.#at(delay, () => {
-      this.#carryOut(engine, order);
+      this.#executeOrder(engine, order);
     });
   }
 
-  #carryOut(engine: SimulatedEngine, order: EngineOrder): void {
+  #executeOrder(engine: SimulatedEngine, order: EngineOrder): void {
     if (!engine.isAlive) {
       return;
     }
@@ -317,11 +317,11 @@
 
   #join(engine: SimulatedEngine, order: Extract<EngineOrder, { type: 'join' }>): void {
     const { group, fencingNumber, members, model } = order;
-    if (fencingNumber < engine.highestFence || this.#isIn(engine, order)) {
+    if (fencingNumber < engine.highestFencingNumber || this.#isIn(engine, order)) {
       return;
     }
     this.#checkNotSplit(engine, order);
-    engine.highestFence = fencingNumber;
+    engine.highestFencingNumber = fencingNumber;
     const isRejoin = engine.lastModel === model;
     const isStaged = engine.staged.includes(model);
     const known = engineProfile.models.find(({ name }) => name === model);
@@ -333,10 +333,10 @@
 
   #loadTime(model: string): Milliseconds {
     const known = engineProfile.models.find(({ name }) => name === model);
-    return (known?.loadDuration ?? 0) * (this.hasTraffic ? 1 : earlyLoadShare);
+    return (known?.loadDuration ?? 0) * (this.hasTraffic ? 1 : earlyLoadFactor);
   }
 
-  /** No engine may go to another group while the head of its own is open, or stands still. */
+  /** Checks that an engine does not join another group while the head of its own group is open, even if the head is stalled. */
   #checkNotSplit(engine: SimulatedEngine, order: { group: string; fencingNumber: number }): void {
     const own = engine.group;
     const headInstance = own?.members[0];
@@ -371,7 +371,7 @@
     if (group.state === 'joining') {
       group.state = 'ready';
       group.changesAt = Number.POSITIVE_INFINITY;
-      // Only a load stages a model; one that joins again what it had last keeps the other one staged.
+      // Only a load stages a model; an engine that rejoins with its last model keeps the other model staged.
       if (engine.lastModel !== group.model && !engine.staged.includes(group.model)) {
         engine.staged = [group.model];
       }
@@ -382,13 +382,13 @@
       group.changesAt = Number.POSITIVE_INFINITY;
       const missing = group.members.filter((member) => !this.#ready.get(key)?.has(member));
       if (missing.length > 0) {
-        this.violations.push(`${group.name} opens and ${missing.join()} was never ready in it`);
+        this.violations.push(`${group.name} opens but ${missing.join()} was never ready in it`);
       }
     }
-    this.#breakWhenStalled(engine);
+    this.#breakIfIncomplete(engine);
   }
 
-  #breakWhenStalled(engine: SimulatedEngine): void {
+  #breakIfIncomplete(engine: SimulatedEngine): void {
     const { group } = engine;
     if (group?.state !== 'open') {
       return;
@@ -405,7 +405,7 @@
     }
   }
 
-  #noteLoads(staging: ReadonlyMap<string, string>): void {
+  #recordLoads(staging: ReadonlyMap<string, string>): void {
     for (const [host, model] of staging) {
       if (this.hasTraffic && this.#staging.get(host) !== model) {
         this.#loads.note({ host, model }, this.now);
@@ -436,7 +436,7 @@
     });
     const decision = this.#options.mutate?.(planned, [...engineGroups.values()]) ?? planned;
     const staging = new Map(decision.stage.map(({ host, model }) => [host, model]));
-    this.#noteLoads(staging);
+    this.#recordLoads(staging);
     for (const { name, controller } of this.hosts) {
       controller.handle({ type: 'stagingWanted', model: staging.get(name) });
     }
--- a/__tests__/routing/documents.test.ts
+++ b/__tests__/routing/documents.test.ts
@@ -3,8 +3,8 @@
 import { checkRoutingDocument, chooseService, RouteTable } from '../../src/routing/index.js';
 import { bookRoute, createDocument, lookupRoute, streamRoute } from './documents.js';
 
-describe('checks of a routing document', () => {
-  it('takes one that is whole', () => {
+describe('validation of a routing document', () => {
+  it('accepts a complete document', () => {
     expect(checkRoutingDocument(createDocument()).ok).toBe(true);
   });
 
@@ -13,7 +13,10 @@
       'an unknown service',
       { routes: [{ ...streamRoute, targets: [{ service: 'x', weight: 1 }] }] },
     ],
-    ['two routes at one place', { routes: [streamRoute, { ...streamRoute, name: 'other' }] }],
+    [
+      'two routes with the same host and prefix',
+      { routes: [streamRoute, { ...streamRoute, name: 'other' }] },
+    ],
     [
       'weights that add up to 0',
       { routes: [{ ...lookupRoute, targets: [{ service: 'desk', weight: 0 }] }] },
@@ -34,7 +37,7 @@
     expect(result.err && result.val.code).toBe('invalidRouting');
   });
 
-  it('does not tell a key in its message', () => {
+  it('does not reveal a key in its message', () => {
     const accounts = [
       { name: 'a', keys: ['secret-key'] },
       { name: 'b', keys: ['secret-key'] },
@@ -43,14 +46,14 @@
     expect(result.err && result.val.detail).not.toContain('secret-key');
   });
 
-  it('takes a key that one account names twice', () => {
+  it('accepts a key that one account lists twice', () => {
     const accounts = [{ name: 'a', keys: ['same', 'same'] }];
     expect(checkRoutingDocument(createDocument({ accounts })).ok).toBe(true);
   });
 });
 
 describe('route table', () => {
-  it('takes the longest prefix of the host', () => {
+  it('chooses the longest matching prefix of the host', () => {
     const inner = { ...bookRoute, name: 'inner', pathPrefix: '/lookup/inner/' };
     const table = new RouteTable(createDocument({ routes: [lookupRoute, inner, streamRoute] }));
     expect(table.findRoute('desk.example', '/lookup/inner/7')?.name).toBe('inner');
@@ -65,7 +68,7 @@
     expect(table.findAccount('')).toBeUndefined();
   });
 
-  it('splits requests by weight and never takes a target of weight 0', () => {
+  it('splits requests by weight and never chooses a target of weight 0', () => {
     const targets = [
       { service: 'never', weight: 0 },
       { service: 'most', weight: 90 },
--- a/src/engines/available-engines.ts
+++ b/src/engines/available-engines.ts
@@ -2,32 +2,32 @@
 import { InstanceSet, type EngineModel, type EngineProfile } from '../routing/index.js';
 import type { AnsweringEngine, GroupView } from './types.js';
 
-/** Tells which engines can be members of a new group, and when. */
+/** Determines which engines can become members of a new group, and when. */
 
-/** Time to join when the engine's last group had the same model. */
+/** Time to join a group if the engine's previous group had the same model. */
 const rejoinDuration: Milliseconds = 220;
-/** Loads take this part of their time before the first request. */
-const earlyLoadShare = 0.1;
-/** A group that drains is empty after about this time: most answers are done by then. */
+/** Before the first request, a load takes this fraction of its usual time. */
+const earlyLoadFactor = 0.1;
+/** Approximate time for a draining group to become empty: most requests have finished by then. */
 const drainDuration: Milliseconds = 1000;
-/** A head takes some ten milliseconds to close and leave. */
+/** Time allowed for a head to close and leave its group, which takes some tens of milliseconds. */
 const closingDuration: Milliseconds = 100;
-/** A group that closes for longer than this has a head that is not heard of; nobody waits for its engines. */
-const longestClosing: Milliseconds = 1500;
-/** A group works at the pace of its slowest member; from this factor on it is better off without that one. */
-const slowFrom = 2;
+/** If a group is closing for longer than this, nothing is known about its head; planning no longer counts on its engines. */
+const closingTimeout: Milliseconds = 1500;
+/** A group runs at the speed of its slowest member. From this slowdown on, the group is better off without that member. */
+const slowdownThreshold = 2;
 
 /** An engine that could be a member of a new group. */
 export interface AvailableEngine {
   readonly engine: AnsweringEngine;
-  /** Time until it is in no group any more; 0 for a free one. */
-  readonly freeIn: Milliseconds;
-  /** The open group that would have to be drained for it; undefined for none. */
-  readonly heldBy: GroupView | undefined;
+  /** Time until the engine has left its group; 0 if it is in none. */
+  readonly timeUntilFree: Milliseconds;
+  /** The open group that has to be drained to free the engine; undefined if there is none. */
+  readonly openGroup: GroupView | undefined;
 }
 
-/** Engines that are free, those that come free by themselves, and those of open groups. */
-export function listAvailableEngines(
+/** Engines that are in no group, engines of groups that are draining or closing, and engines of open groups. */
+export function findAvailableEngines(
   engines: readonly AnsweringEngine[],
   groups: readonly GroupView[],
 ): readonly AvailableEngine[] {
@@ -36,33 +36,33 @@
   );
   return engines
     .filter((engine) => !isSlow(engine))
-    .flatMap((engine) => describeAvailable(engine, groupOf.get(engine.member.host)) ?? []);
+    .flatMap((engine) => toAvailableEngine(engine, groupOf.get(engine.member.host)) ?? []);
 }
 
 /** Whether the engine is so slow that a group is better off without it. */
 export function isSlow({ reading }: AnsweringEngine): boolean {
-  return reading.slowdown >= slowFrom;
+  return reading.slowdown >= slowdownThreshold;
 }
 
-/** Whether the engine can join a group of the model within a second or two. */
+/** Whether the engine can join a group of the model within a second or two, because its host has the weights. */
 export function isWarm({ lastModel, reading }: AnsweringEngine, model: EngineModel): boolean {
   return lastModel === model.name || reading.staged.includes(model.name);
 }
 
-/** Time until an engine is ready in a group of the model; loads as before the first request. */
-export function estimateReady(
-  { engine, freeIn }: AvailableEngine,
+/** Time until an engine is ready in a group of the model. Loads are estimated at their speed before the first request. */
+export function estimateReadyTime(
+  { engine, timeUntilFree }: AvailableEngine,
   model: EngineModel,
 ): Milliseconds {
   if (engine.lastModel === model.name) {
-    return freeIn + rejoinDuration;
+    return timeUntilFree + rejoinDuration;
   }
   const load = engine.reading.staged.includes(model.name) ? 0 : model.loadDuration;
-  return freeIn + model.stagedJoinDuration + load * earlyLoadShare;
+  return timeUntilFree + model.stagedJoinDuration + load * earlyLoadFactor;
 }
 
-/** Open groups that work at full pace: the others answer too late to be counted on. */
-export function listSlowGroups(
+/** Names of the groups with a slow member. Their answers come too late for them to count as capacity. */
+export function findSlowGroups(
   engines: readonly AnsweringEngine[],
   groups: readonly GroupView[],
 ): ReadonlySet<string> {
@@ -73,24 +73,24 @@
   return new Set(found.map(({ group }) => group.name));
 }
 
-/** Undefined for an engine of a group that is on its way. */
-function describeAvailable(
+/** Undefined if the group of the engine is being formed, or if nothing is known about the head of a closing group. */
+function toAvailableEngine(
   engine: AnsweringEngine,
   view: GroupView | undefined,
 ): AvailableEngine | undefined {
   switch (view?.group.phase) {
     case undefined:
-      return { engine, freeIn: 0, heldBy: undefined };
+      return { engine, timeUntilFree: 0, openGroup: undefined };
     case 'open':
-      return { engine, freeIn: drainDuration + closingDuration, heldBy: view };
+      return { engine, timeUntilFree: drainDuration + closingDuration, openGroup: view };
     case 'draining': {
-      const freeIn = Math.max(0, drainDuration - view.phaseAge) + closingDuration;
-      return { engine, freeIn, heldBy: undefined };
+      const timeUntilFree = Math.max(0, drainDuration - view.phaseAge) + closingDuration;
+      return { engine, timeUntilFree, openGroup: undefined };
     }
     case 'closing':
-      return view.phaseAge > longestClosing
+      return view.phaseAge > closingTimeout
         ? undefined
-        : { engine, freeIn: closingDuration, heldBy: undefined };
+        : { engine, timeUntilFree: closingDuration, openGroup: undefined };
     case 'joining':
     case 'opening':
       return undefined;
@@ -102,11 +102,11 @@
   return [...new Set(available.map(({ engine }) => engine.reading.fabricDomain))];
 }
 
-/** Time until a group of these engines would serve. */
-export function estimateServing(
+/** Time until a group of these engines could serve requests. */
+export function estimateServingTime(
   members: readonly AvailableEngine[],
   model: EngineModel,
   { openDuration }: EngineProfile,
 ): Milliseconds {
-  return Math.max(...members.map((member) => estimateReady(member, model))) + openDuration;
+  return Math.max(...members.map((member) => estimateReadyTime(member, model))) + openDuration;
 }
--- a/src/engines/candidates.ts
+++ b/src/engines/candidates.ts
@@ -1,44 +1,47 @@
 import type { Milliseconds } from '../common/index.js';
 import type { EngineModel, EngineProfile } from '../routing/index.js';
-import type { ModelNeeds } from './model-need.js';
+import type { ModelNeeds } from './model-needs.js';
 import {
-  estimateReady,
-  estimateServing,
+  estimateReadyTime,
+  estimateServingTime,
   isWarm,
   listDomains,
   type AvailableEngine,
 } from './available-engines.js';
 import type { GroupView } from './types.js';
 
-/** Lists the groups that could be formed, with what each is worth. */
+/** Lists the groups that could be formed and computes the value of each. */
 
 /**
- * How long a group is expected to serve. A group that takes as long to form is worth nothing; one that is there at once is
- * worth its whole gain.
+ * How long a group is expected to serve. The value of a group falls linearly with the time to form it: a group that is available
+ * at once has its full gain, one that takes this long has none.
  */
-const expectedLife: Milliseconds = 20_000;
+const expectedLifetime: Milliseconds = 20_000;
 /**
- * What draining a group costs, in requests at one moment: its callers go elsewhere and two joins are ordered. Less than a
- * quarter of what the last group of a reserve is worth.
+ * Cost of draining a group, in concurrent requests: its callers have to use other groups, and two joins are ordered. It is less
+ * than a quarter of the value of the last group of a reserve.
  */
 const drainCost = 0.8;
 /**
- * What a group has to bring for each of its engines, in requests at one moment. An idle engine that has the weights of several
- * models at hand mends the next group of any of them sooner than one that has to leave a group first.
+ * Value per engine, in concurrent requests, that a group must exceed once there is traffic. Below it the engines stay idle: an idle
+ * engine whose host has the weights of several models can replace a lost member sooner than one that first has to leave a group.
  */
-const leastGain = 0.1;
-/** For each group of its model in its domain a group is worth this part less: a fabric domain is lost as a whole. */
-const crowdingShare = 0.08;
+const minimumValuePerEngine = 0.1;
+/**
+ * Fraction of its gain that a group loses for each group of the same model in its fabric domain. This spreads a model over domains,
+ * because a fabric domain fails as a whole.
+ */
+const crowdingPenalty = 0.08;
 
-/** What candidates are made from. */
+/** Input for choosing a candidate. */
 export interface CandidateInput {
   readonly profile: EngineProfile;
   readonly available: readonly AvailableEngine[];
   readonly needs: ModelNeeds;
   readonly hasTraffic: boolean;
-  /** Open groups that answer too slowly to be counted; their engines may go to any model. */
+  /** Names of the groups that are too slow to count as capacity; their engines may be given to any model. */
   readonly slowGroups: ReadonlySet<string>;
-  /** Groups of a model in a domain, for spreading them. */
+  /** Number of groups of a model in a fabric domain. */
   readonly countInDomain: (domain: string, model: string) => number;
 }
 
@@ -47,21 +50,21 @@
   readonly model: EngineModel;
   readonly domain: string;
   readonly members: readonly AvailableEngine[];
-  /** Open groups that have to be drained for it. */
-  readonly drained: readonly GroupView[];
-  /** In requests at one moment, for each engine that it takes. */
+  /** Open groups that have to be drained to free members for it. */
+  readonly groupsToDrain: readonly GroupView[];
+  /** In concurrent requests, per engine. */
   readonly value: number;
   /**
-   * Part of what is asked for that the groups of the model can take, 1 at most. The model with the smallest goes first: by value a
-   * model with small groups would take all engines while callers of the other one find nothing.
+   * Fraction of the demand for the model that its groups can serve, 1 at most. The model with the lowest coverage goes first: by value
+   * alone, a model with small groups would take all engines while callers of the other model find no group.
    */
   readonly coverage: number;
 }
 
-/** The best candidate; undefined where none is worth its engines. */
+/** The best candidate; undefined if none is worthwhile. */
 export function findBestCandidate(input: CandidateInput): Candidate | undefined {
   return listCandidates(input).reduce<Candidate | undefined>(
-    (winner, each) => (winner === undefined || isBetter(each, winner) ? each : winner),
+    (best, each) => (best === undefined || isBetter(each, best) ? each : best),
     undefined,
   );
 }
@@ -81,67 +84,73 @@
   local: readonly AvailableEngine[],
   model: EngineModel,
 ): Candidate | undefined {
-  // Later, a load takes longer than most groups live; hosts that lack the weights stage them first.
-  const able = input.hasTraffic ? local.filter(({ engine }) => isWarm(engine, model)) : local;
-  const atHand = able.filter(({ heldBy }) => heldBy === undefined);
-  const missing = model.groupSize - atHand.length;
+  // Once there is traffic, a load takes longer than most groups last; hosts without the weights have to stage them first.
+  const eligible = input.hasTraffic ? local.filter(({ engine }) => isWarm(engine, model)) : local;
+  const noDrainNeeded = eligible.filter(({ openGroup }) => openGroup === undefined);
+  const missing = model.groupSize - noDrainNeeded.length;
   const coverage = input.needs.coverageOf(model);
-  const drained = missing > 0 ? chooseDrained(input, able, model, missing, coverage) : [];
-  const given = able.filter(({ heldBy }) => heldBy !== undefined && drained.includes(heldBy));
-  const chosen = [...atHand, ...given]
-    .sort((one, other) => estimateReady(one, model) - estimateReady(other, model))
+  const groupsToDrain =
+    missing > 0 ? chooseGroupsToDrain(input, eligible, model, missing, coverage) : [];
+  const drainedEngines = eligible.filter(
+    ({ openGroup }) => openGroup !== undefined && groupsToDrain.includes(openGroup),
+  );
+  const chosen = [...noDrainNeeded, ...drainedEngines]
+    .sort((one, other) => estimateReadyTime(one, model) - estimateReadyTime(other, model))
     .slice(0, model.groupSize);
   if (chosen.length < model.groupSize) {
     return undefined;
   }
-  const value = valueCandidate(input, domain, model, chosen, drained);
-  const isWorthIt = value > (input.hasTraffic ? leastGain : 0);
-  return isWorthIt ? { model, domain, members: chosen, drained, value, coverage } : undefined;
+  const value = computeValue(input, domain, model, chosen, groupsToDrain);
+  const isWorthwhile = value > (input.hasTraffic ? minimumValuePerEngine : 0);
+  return isWorthwhile
+    ? { model, domain, members: chosen, groupsToDrain, value, coverage }
+    : undefined;
 }
 
-function valueCandidate(
+function computeValue(
   { needs, profile, slowGroups, countInDomain }: CandidateInput,
   domain: string,
   model: EngineModel,
   chosen: readonly AvailableEngine[],
-  drained: readonly GroupView[],
+  groupsToDrain: readonly GroupView[],
 ): number {
-  const duration = estimateServing(chosen, model, profile);
-  const crowding = 1 - crowdingShare * countInDomain(domain, model.name);
-  const gain = needs.gainOf(model) * (1 - duration / expectedLife) * crowding;
-  const counted = drained.filter(({ group }) => !slowGroups.has(group.name));
-  const loss = needs.lossOf(counted.map(({ group }) => group.model));
-  return (gain - loss - drained.length * drainCost) / model.groupSize;
+  const duration = estimateServingTime(chosen, model, profile);
+  const crowding = 1 - crowdingPenalty * countInDomain(domain, model.name);
+  const gain = needs.gainOf(model) * (1 - duration / expectedLifetime) * crowding;
+  const fullSpeedGroups = groupsToDrain.filter(({ group }) => !slowGroups.has(group.name));
+  const loss = needs.lossOf(fullSpeedGroups.map(({ group }) => group.model));
+  return (gain - loss - groupsToDrain.length * drainCost) / model.groupSize;
 }
 
 /**
- * The fewest open groups that together give the missing engines; none where that is not possible. A model gives away what it
- * can spare, and any group that is slow.
+ * A small set of open groups that together release the missing engines, those that release most engines first; empty if there is no such set.
+ * Slow groups may always be drained, groups of another model only as far as that model can spare them.
  */
-function chooseDrained(
+function chooseGroupsToDrain(
   { needs, profile, slowGroups }: CandidateInput,
-  able: readonly AvailableEngine[],
+  eligible: readonly AvailableEngine[],
   model: EngineModel,
   missing: number,
   coverage: number,
 ): readonly GroupView[] {
-  const views = [...new Set(able.flatMap(({ heldBy }) => heldBy ?? []))];
-  const countGiven = (view: GroupView): number =>
-    able.filter(({ heldBy }) => heldBy === view).length;
+  const views = [...new Set(eligible.flatMap(({ openGroup }) => openGroup ?? []))];
+  const countReleased = (view: GroupView): number =>
+    eligible.filter(({ openGroup }) => openGroup === view).length;
   const spare = new Map(
     profile.models.map((each) => [each.name, needs.countSpare(each, coverage)]),
   );
   const chosen: GroupView[] = [];
-  let given = 0;
-  for (const view of views.sort((one, other) => countGiven(other) - countGiven(one))) {
-    const { name, model: own } = view.group;
-    const isGiven = slowGroups.has(name) || (own !== model.name && takeSpare(spare, own));
-    if (isGiven && given < missing) {
+  let releasedCount = 0;
+  for (const view of views.sort((one, other) => countReleased(other) - countReleased(one))) {
+    const { name, model: releasedModel } = view.group;
+    const canDrain =
+      slowGroups.has(name) || (releasedModel !== model.name && takeSpare(spare, releasedModel));
+    if (canDrain && releasedCount < missing) {
       chosen.push(view);
-      given += countGiven(view);
+      releasedCount += countReleased(view);
     }
   }
-  return given >= missing ? chosen : [];
+  return releasedCount >= missing ? chosen : [];
 }
 
 function takeSpare(spare: Map<string, number>, model: string): boolean {
--- a/src/engines/index.ts
+++ b/src/engines/index.ts
@@ -1,4 +1,4 @@
-export { judgeEngine } from './engine-standing.js';
+export { judgeEngine } from './engine-status.js';
 export { planEngineGroups } from './plan.js';
 export { Settling } from './settling.js';
 export type {
--- a/src/engines/plan.ts
+++ b/src/engines/plan.ts
@@ -1,9 +1,9 @@
 import type { EnginePhase, RoutedService } from '../routing/index.js';
 import { formGroups } from './form-groups.js';
-import { ModelNeeds } from './model-need.js';
-import { judgeEngine } from './engine-standing.js';
-import { reviewGroup } from './review-groups.js';
-import { listAvailableEngines, listSlowGroups } from './available-engines.js';
+import { ModelNeeds } from './model-needs.js';
+import { judgeEngine } from './engine-status.js';
+import { decideTransition } from './group-transitions.js';
+import { findAvailableEngines, findSlowGroups } from './available-engines.js';
 import { chooseStaging } from './staging.js';
 import type {
   EngineDecision,
@@ -17,23 +17,26 @@
   StagingOrder,
 } from './types.js';
 
-/** Decides what becomes of the groups of engines; pure, and made anew from all that is known each time. */
+/** Plans the groups of engines. This is a pure function; each plan is computed from the whole input. */
 export function planEngineGroups(input: PlannerInput): EngineDecision {
-  const verdicts = input.groups.map((view) => ({ view, verdict: reviewGroup(view, input) }));
+  const transitions = input.groups.map((view) => ({
+    view,
+    transition: decideTransition(view, input),
+  }));
   const advance: GroupAdvance[] = [];
   const remove: GroupRemoval[] = [];
   const kept: GroupView[] = [];
-  for (const { view, verdict } of verdicts) {
-    switch (verdict.type) {
+  for (const { view, transition } of transitions) {
+    switch (transition.type) {
       case 'keep':
         kept.push(view);
         break;
       case 'advance':
-        advance.push(verdict.advance);
-        kept.push({ group: { ...view.group, phase: verdict.advance.phase }, phaseAge: 0 });
+        advance.push(transition.advance);
+        kept.push({ group: { ...view.group, phase: transition.advance.phase }, phaseAge: 0 });
         break;
       case 'remove':
-        remove.push(verdict.removal);
+        remove.push(transition.removal);
         break;
     }
   }
@@ -59,29 +62,29 @@
     return { place: [], stage: [], advance: [] };
   }
   const engines = [...input.engines.values()].flatMap((view) => {
-    return view.facts.service === service.name ? (describeEngine(view, input) ?? []) : [];
+    return view.facts.service === service.name ? (toAnsweringEngine(view, input) ?? []) : [];
   });
-  const working = groups.filter(({ group }) => isWorking(group.phase));
-  const slowGroups = listSlowGroups(engines, working);
-  const counted = working.filter(({ group }) => !slowGroups.has(group.name));
+  const activeGroups = groups.filter(({ group }) => isActive(group.phase));
+  const slowGroups = findSlowGroups(engines, activeGroups);
+  const fullSpeedGroups = activeGroups.filter(({ group }) => !slowGroups.has(group.name));
   const needs = new ModelNeeds(
     profile,
     engines.length,
-    counted.map(({ group }) => group),
+    fullSpeedGroups.map(({ group }) => group),
     input.demand,
   );
   const { hasTraffic, loadsAllowed } = input;
   const domains = new Map(
     engines.map(({ member, reading }) => [member.host, reading.fabricDomain]),
   );
-  const available = listAvailableEngines(engines, groups);
+  const available = findAvailableEngines(engines, groups);
   const mayDrain = !hasTraffic || input.demand.size > 0;
-  const known = { service, profile, available, working, slowGroups, needs, domains };
+  const sharedInput = { service, profile, available, activeGroups, slowGroups, needs, domains };
   const { place, drain } = input.isSettling
     ? { place: [], drain: [] }
-    : formGroups({ ...known, hasTraffic, mayDrain, nextNumber });
+    : formGroups({ ...sharedInput, hasTraffic, mayDrain, nextNumber });
   const groupModels = new Map(
-    [...working.map(({ group }) => group), ...place].flatMap(({ members, model }) =>
+    [...activeGroups.map(({ group }) => group), ...place].flatMap(({ members, model }) =>
       members.map(({ host }): [string, string] => [host, model]),
     ),
   );
@@ -97,19 +100,19 @@
   return { place, stage, advance: drain };
 }
 
-function isWorking(phase: EnginePhase): boolean {
+function isActive(phase: EnginePhase): boolean {
   return phase === 'joining' || phase === 'opening' || phase === 'open';
 }
 
-/** An engine that answers and stays; undefined for any other. */
-function describeEngine(view: EngineView, input: PlannerInput): AnsweringEngine | undefined {
+/** Undefined if the engine does not answer or is shutting down. */
+function toAnsweringEngine(view: EngineView, input: PlannerInput): AnsweringEngine | undefined {
   const { facts, host } = view;
   const { address, service, lastModel } = facts;
-  const standing = judgeEngine(view);
-  if (standing.type !== 'answering' || input.leaving.has(standing.reading.instance)) {
+  const status = judgeEngine(view);
+  if (status.type !== 'answering' || input.leaving.has(status.reading.instance)) {
     return undefined;
   }
-  const { reading } = standing;
+  const { reading } = status;
   const member = { host, instance: reading.instance, address };
   return { member, service, reading, lastModel };
 }
--- a/src/engines/settling.ts
+++ b/src/engines/settling.ts
@@ -1,23 +1,23 @@
 import type { Milliseconds } from '../common/index.js';
 import type { EngineView } from './types.js';
 
-/** Decides how long a first placement waits for engines that still come up; free of I/O. */
+/** Decides how long the first placement waits for engines that are still starting; free of I/O. */
 
-/** By then the sidecars of all hosts have reported: they start within some tenths of a second of each other. */
-const shortestSettling: Milliseconds = 1500;
-/** An engine that is not there by then is not waited for. */
-const longestSettling: Milliseconds = 4500;
+/** Within this time the sidecars of all hosts have reported, because they start within a few tenths of a second of each other. */
+const minimumSettlingTime: Milliseconds = 1500;
+/** An engine that does not answer by then is not waited for. */
+const settlingTimeout: Milliseconds = 4500;
 
 /**
- * The first placement waits until the engines that have a sidecar answer.
- * Placed one by one as they come up, they form the smallest groups first, and are regrouped later: each regrouping loads weights
- * again, and the last groups opened in the very moment of the first request.
+ * Delays the first placement until all engines with a sidecar answer.
+ * If engines were placed one by one as they start, they would form the smallest groups first and be regrouped later. Each regrouping
+ * loads weights again; the last groups opened only at the moment of the first request.
  */
 export class Settling {
   #firstSeenAt: Milliseconds | undefined;
   #isOver = false;
 
-  /** Groups were placed before, or there is traffic: nothing is waited for. */
+  /** Ends the wait, because groups were placed before or there is traffic. */
   end(): void {
     this.#isOver = true;
   }
@@ -30,8 +30,9 @@
       this.#firstSeenAt ??= now;
     }
     const waited = now - (this.#firstSeenAt ?? now);
-    const isMissing = [...engines.values()].some(({ facts }) => facts.reading === undefined);
-    this.#isOver = waited >= longestSettling || (waited >= shortestSettling && !isMissing);
+    const hasMissingEngine = [...engines.values()].some(({ facts }) => facts.reading === undefined);
+    this.#isOver =
+      waited >= settlingTimeout || (waited >= minimumSettlingTime && !hasMissingEngine);
     return !this.#isOver;
   }
 }
--- a/src/engines/types.ts
+++ b/src/engines/types.ts
@@ -9,13 +9,13 @@
   RoutedService,
 } from '../routing/index.js';
 
-/** What the planning of engine groups is decided from, and what it decides. */
+/** Input and output of the planning of engine groups. */
 
-/** An engine as the leader last heard of it. */
+/** What the leader knows about an engine from the last report of its sidecar. */
 export interface EngineView {
   readonly host: string;
   readonly facts: EngineFacts;
-  /** Time since the sidecar beside it was heard. */
+  /** Time since the last report. */
   readonly silence: Milliseconds;
 }
 
@@ -25,22 +25,22 @@
   readonly phaseAge: Milliseconds;
 }
 
-/** All that a decision is made from. */
+/** Everything that a plan depends on. */
 export interface PlannerInput {
   readonly services: readonly RoutedService[];
   readonly groups: readonly GroupView[];
   readonly engines: ReadonlyMap<string, EngineView>;
-  /** Instances that said that they are leaving. */
+  /** Instances that are shutting down, or known to be gone. */
   readonly leaving: InstanceSet;
-  /** Whether a group has served a request: from then on loads are slow, and limited. */
+  /** Whether there has been a request. From the first request on, loads are slow and limited. */
   readonly hasTraffic: boolean;
-  /** Whether engines are still coming up for the first time: what is placed now would be placed from a part of them. */
+  /** Whether engines are still starting for the first time, so that a placement now would use only some of them. */
   readonly isSettling: boolean;
   /** Loads from the weight store that may begin now. */
   readonly loadsAllowed: number;
-  /** Models that hosts were ordered to stage and do not stage yet. */
+  /** Models that hosts were ordered to stage and have not staged yet, by host. */
   readonly pendingStaging: ReadonlyMap<string, string>;
-  /** Requests that want to run at one moment, by model; empty until all gateways have reported what they measured. */
+  /** Measured demand in concurrent requests, by model; empty until all gateways have reported theirs. */
   readonly demand: ReadonlyMap<string, number>;
   /** First number for the names of new groups. */
   readonly nextNumber: number;
@@ -49,7 +49,7 @@
 /** A group to place. */
 export type NewEngineGroup = Omit<EngineGroup, 'fencingNumber' | 'phase'>;
 
-/** A phase that a group enters. */
+/** A change of a group to another phase. */
 export interface GroupAdvance {
   readonly name: string;
   readonly phase: EnginePhase;
@@ -57,7 +57,7 @@
   readonly reason: string;
 }
 
-/** A group that is dissolved; its engines are free again. */
+/** The removal of a group; its engines become free. */
 export interface GroupRemoval {
   readonly name: string;
   readonly reason: string;
@@ -69,7 +69,7 @@
   readonly model: string;
 }
 
-/** What to do now. */
+/** The changes to make now. */
 export interface EngineDecision {
   readonly place: readonly NewEngineGroup[];
   readonly advance: readonly GroupAdvance[];
@@ -77,7 +77,7 @@
   readonly stage: readonly StagingOrder[];
 }
 
-/** An engine that answers and may become a member. */
+/** An engine that answers and may become a member of a group. */
 export interface AnsweringEngine {
   readonly member: EngineMember;
   readonly service: string;
--- a/src/model/attempt.ts
+++ b/src/model/attempt.ts
@@ -9,16 +9,16 @@
   Revision,
 } from './identifiers.js';
 
-/** Names one attempt at a caller's request, everywhere and for good. */
+/** Globally unique name of one attempt at a caller's request. */
 export interface AttemptName {
   readonly requestId: RequestId;
   /** 1 for the first attempt. */
   readonly attempt: number;
-  /** Incarnation of the sidecar that the attempt is meant for. */
+  /** Incarnation of the sidecar that the attempt is addressed to. */
   readonly incarnation: Incarnation;
 }
 
-/** What a gateway asks of a lead sidecar; the body travels beside it. */
+/** A gateway's order to a lead sidecar to run an attempt; the body is sent separately. */
 export interface AttemptOrder {
   readonly name: AttemptName;
   readonly group: GroupName;
@@ -32,7 +32,7 @@
   readonly isNonIdempotent: boolean;
 }
 
-/** A definite "not run" by a sidecar. */
+/** A refusal by a sidecar; it guarantees that the attempt was not run. */
 export interface AttemptRefusal {
   readonly code: ResultCodeName;
   readonly load: Load;
@@ -40,7 +40,7 @@
   readonly configurationRevision: Revision;
 }
 
-/** What a sidecar knows of an attempt that a gateway asks after. */
+/** The state of an attempt, as a sidecar reports it to a gateway. */
 export type AttemptState =
   | { readonly type: 'neverSeen' }
   | { readonly type: 'refused'; readonly code: ResultCodeName }
@@ -49,12 +49,12 @@
       readonly type: 'ended';
       readonly firstOffset: number;
       readonly nextOffset: number;
-      /** `ok` for a whole answer. */
+      /** `ok` for a complete answer. */
       readonly code: ResultCodeName;
     }
   | { readonly type: 'otherIncarnation' };
 
-/** Key of an attempt in maps. */
+/** Formats an attempt name as a map key. */
 export function formatAttemptName(name: AttemptName): string {
   return `${name.requestId}/${name.attempt}`;
 }
--- a/src/model/configuration.ts
+++ b/src/model/configuration.ts
@@ -2,7 +2,7 @@
 import type { AccountName, DeclarationName, ServiceName } from './identifiers.js';
 import type { Labels, Selector } from './label.js';
 
-/** The whole of what operators declare; one revision of it is in force at a time. */
+/** Everything that operators declare; one revision is in effect at a time. */
 export interface Configuration {
   readonly groups: readonly GroupDeclaration[];
   readonly services: readonly ServiceDeclaration[];
@@ -11,34 +11,34 @@
   readonly objectives: readonly Objective[];
 }
 
-/** Groups of hosts that carry one artifact. */
+/** Declares groups of hosts that serve one artifact. */
 export interface GroupDeclaration {
   readonly name: DeclarationName;
   /** Hosts that may be members. */
   readonly hosts: Selector;
-  /** Hosts in one group; all must be present. */
+  /** Number of hosts in one group; all must be present. */
   readonly replicaSize: number;
-  /** How many groups are wanted; undefined for as many as the hosts allow. */
+  /** Desired number of groups; undefined for as many as the hosts allow. */
   readonly replicas: number | undefined;
   readonly carries: Artifact;
   readonly reachableBy: Reach;
 }
 
-/** Who may reach a group: client accounts and plain services, both chosen by labels. */
+/** Who may send requests to a group or service: client accounts, selected by label, and plain services, listed by name. */
 export interface Reach {
   readonly accounts: Selector;
-  /** Names of plain services that may call the group with their own key. */
+  /** Names of plain services that may send requests with their own key. */
   readonly services: readonly ServiceName[];
 }
 
-/** A plain service that the system routes to. */
+/** Declares a plain service that requests are routed to. */
 export interface ServiceDeclaration {
   readonly name: ServiceName;
   readonly hosts: Selector;
   readonly reachableBy: Reach;
-  /** Whether requests are non-idempotent unless they say otherwise. */
+  /** Whether requests are non-idempotent unless they specify otherwise. */
   readonly nonIdempotentByDefault: boolean;
-  /** Requests that one upstream takes at a time. */
+  /** Number of requests that one upstream accepts concurrently. */
   readonly concurrency: number;
 }
 
@@ -48,30 +48,30 @@
   readonly labels: Labels;
   /** SHA-256 of the bearer key, in lower-case hexadecimal. */
   readonly keySha256: string;
-  /** The service this key belongs to, where the caller is one of the plain services. */
+  /** The plain service that this key belongs to; undefined if the caller is not a plain service. */
   readonly service: ServiceName | undefined;
   readonly limits: AccountLimits;
 }
 
 /** Limits of one client account. */
 export interface AccountLimits {
-  /** Share in weighted fair admission; at least 1. */
+  /** Weight in weighted fair admission; at least 1. */
   readonly weight: number;
-  /** Requests in flight at one gateway; undefined for no limit. */
+  /** Maximum number of requests in flight at one gateway; undefined for no limit. */
   readonly concurrentRequests: number | undefined;
-  /** 0 is the most urgent; a request may ask for less urgency, not for more. */
+  /** 0 is the most urgent; a request may lower its urgency but not raise it. */
   readonly priority: number;
 }
 
-/** How placement weighs what hurts. */
+/** Cost weights and limits of placement. */
 export interface Policy {
-  /** Cost of one second during which one group that should serve cannot. */
+  /** Cost per second of one group that should serve but cannot. */
   readonly groupDowntimeWeight: number;
-  /** Cost of one second during which one healthy host belongs to no whole group. */
+  /** Cost per second of one healthy host that belongs to no complete group. */
   readonly strandedAcceleratorWeight: number;
-  /** Whether a group may span fabric domains when no single one can hold it. */
+  /** Whether a group may span fabric domains if it fits in no single one. */
   readonly allowAcrossFabricDomains: boolean;
-  /** Loads of weights that may run at once; the weight store is rate-limited. */
+  /** Maximum number of concurrent loads of weights; the weight store is rate-limited. */
   readonly concurrentLoads: number;
   /** Duration of a member's lease, in milliseconds. */
   readonly leaseMilliseconds: number;
@@ -81,8 +81,8 @@
 export interface Objective {
   /** Name of a group declaration or a plain service. */
   readonly target: string;
-  /** Share of requests that must get a whole answer, for example 0.999. */
+  /** Fraction of requests that must get a complete answer, for example 0.999. */
   readonly availability: number;
-  /** Share of requests whose first token must come within the threshold. */
+  /** Fraction of requests whose first token must arrive within the threshold. */
   readonly firstToken: { readonly share: number; readonly milliseconds: number } | undefined;
 }
--- a/src/model/group.ts
+++ b/src/model/group.ts
@@ -18,19 +18,19 @@
 export interface GroupMember {
   readonly host: HostName;
   readonly address: Address;
-  /** Incarnation of the sidecar when the group was placed; a restarted member needs a new placement or a new lease. */
+  /** Incarnation of the sidecar at the time of placement; a restarted member needs a new placement or a new lease. */
   readonly incarnation: Incarnation;
 }
 
-/** A placed replica: the hosts that serve together and the fencing number of this placement. */
+/** A placed replica: the hosts that serve together, and the fencing number of the placement. */
 export interface Group {
   readonly name: GroupName;
   readonly declaration: DeclarationName;
   readonly fencingNumber: FencingNumber;
-  /** The first member leads: its sidecar admits attempts, its engine takes them. */
+  /** The first member is the lead: its sidecar admits attempts and its engine receives them. */
   readonly members: readonly GroupMember[];
   readonly offer: Offer;
-  /** Set by placement when the group is to finish its work and dissolve. */
+  /** Set by placement when the group is to finish its attempts and then be removed. */
   readonly isDraining: boolean;
 }
 
@@ -43,19 +43,19 @@
   return lead;
 }
 
-/** What the lead of a group says of it. */
+/** Health of a group, as reported by its lead. */
 export interface GroupHealth {
   readonly group: GroupName;
   readonly fencingNumber: FencingNumber;
-  /** Every lease is held and every engine has loaded the artifact. */
+  /** Whether every lease is held and every engine has loaded the artifact. */
   readonly isServing: boolean;
-  /** Draining is over: no attempt is left. */
+  /** Whether draining is complete, so that no attempt is left. */
   readonly isDrained: boolean;
   /** Members whose lease the lead does not hold. */
   readonly missing: readonly HostName[];
 }
 
-/** Load of an upstream as last seen by the sidecar that admits its attempts. */
+/** Load of an upstream, as last observed by the sidecar that admits its attempts. */
 export interface Load {
   readonly running: number;
   readonly queued: number;
--- a/src/model/host.ts
+++ b/src/model/host.ts
@@ -2,10 +2,10 @@
 import type { Address, HostName, Incarnation, ServiceName } from './identifiers.js';
 import type { Labels } from './label.js';
 
-/** The program beside a sidecar that does the work. */
+/** The program next to a sidecar that processes requests. */
 export type Upstream = EngineUpstream | ServiceUpstream;
 
-/** One host's part of a model engine. */
+/** The part of a model engine that runs on one host. */
 export interface EngineUpstream {
   readonly type: 'engine';
   readonly loaded: readonly Artifact[];
@@ -19,22 +19,22 @@
   readonly service: ServiceName;
 }
 
-/** What a sidecar announces of its host. */
+/** What a sidecar announces about its host. */
 export interface HostFacts {
   readonly host: HostName;
   readonly incarnation: Incarnation;
-  /** Where its sidecar listens for the rest of the system. */
+  /** Address at which the sidecar listens for other processes of the system. */
   readonly address: Address;
   readonly region: string;
   readonly failureDomain: string;
   readonly fabricDomain: string;
   readonly accelerators: number;
-  /** Labels from its settings; labels that operators set in control go before them. */
+  /** Labels from the settings of the host; labels that operators set in control take precedence. */
   readonly labels: Labels;
   /** Undefined until an upstream has announced itself. */
   readonly upstream: Upstream | undefined;
-  /** Whether the upstream is there and says that it is well. */
+  /** Whether the upstream is present and reports that it is healthy. */
   readonly isHealthy: boolean;
-  /** Whether the host is being stopped. */
+  /** Whether the host is shutting down. */
   readonly isDraining: boolean;
 }
--- a/src/model/identifiers.ts
+++ b/src/model/identifiers.ts
@@ -1,4 +1,4 @@
-/** Names of the things the system speaks about; aliases that tell which name a string is. */
+/** Type aliases that document what kind of identifier a string or number is. */
 
 /** Name of a host, unique in a deployment, from its settings. */
 export type HostName = string;
@@ -10,15 +10,15 @@
 export type DeclarationName = string;
 /** Name of a placed group. */
 export type GroupName = string;
-/** Grows with every placement; an order or attempt with an older one is refused. */
+/** Increases with every placement; an order or attempt with a lower number is refused. */
 export type FencingNumber = number;
-/** Grows by one with every accepted change of configuration; 0 before the first. */
+/** Increases by one with every accepted change of configuration; 0 before the first. */
 export type Revision = number;
 /** Name of a client account. */
 export type AccountName = string;
 /** Name of a plain service. */
 export type ServiceName = string;
-/** Identifier of a caller's request, made by the gateway that owns it. */
+/** Identifier of a caller's request, created by the gateway that received it. */
 export type RequestId = string;
-/** Identifier that an operator's change keeps over resends. */
+/** Identifier of an operator's change; stays the same when the change is resent. */
 export type ChangeId = string;
--- a/src/model/watched-state.ts
+++ b/src/model/watched-state.ts
@@ -5,24 +5,24 @@
 /** A group as watchers see it. */
 export interface WatchedGroup {
   readonly group: Group;
-  /** What the lead last said through control; may be old, so the lead's own answer goes before it. */
+  /** The last state that the lead reported through control. It may be outdated, so a direct answer of the lead takes precedence. */
   readonly isServing: boolean;
 }
 
-/** What a gateway or a sidecar knows from its watch of control. */
+/** The state of control that a gateway or a sidecar received through its watch. */
 export interface WatchedState {
   readonly revision: Revision;
   readonly configuration: Configuration;
   readonly groups: ReadonlyMap<GroupName, WatchedGroup>;
-  /** False until the first whole state came. */
+  /** False until the first complete state has arrived. */
   readonly isSynchronized: boolean;
 }
 
-/** Reads the newest watched state and tells of changes; implemented by the watch client. */
+/** Provides the latest watched state and notifies about changes; implemented by the watch client. */
 export interface WatchedStateSource {
   readonly read: () => WatchedState;
-  /** Calls back after each change; the answer ends the subscription. */
+  /** Calls the listener after each change; the returned function ends the subscription. */
   readonly subscribe: (listener: (state: WatchedState) => void) => () => void;
-  /** Told of a revision seen elsewhere (a refused attempt): a newer one is fetched at once. */
+  /** Reports a revision seen elsewhere, such as in a refused attempt; a newer revision is fetched at once. */
   readonly noticeRevision: (revision: Revision) => void;
 }
--- a/src/routing/check.ts
+++ b/src/routing/check.ts
@@ -4,27 +4,31 @@
 import { formatPath } from '../settings/index.js';
 import { routingDocumentSchema, type RoutingDocument } from './schema.js';
 
-/** Checks of a routing document that go before the log: a document that fails one is refused and never in force. */
+/** Validates routing documents before they are appended to the log. A document that fails is rejected and never takes effect. */
 
-/** The document if it is whole and consistent; otherwise `invalidRouting` with everything that is wrong. */
+/** The document if it is complete and consistent; otherwise `invalidRouting` with all problems. */
 export function checkRoutingDocument(value: unknown): Result<RoutingDocument, Failure> {
   const parsed = routingDocumentSchema.safeParse(value);
   if (!parsed.success) {
-    return refuse(
+    return createInvalidResult(
       parsed.error.issues.map((issue) => `${formatPath(issue.path)}: ${issue.message}`),
     );
   }
   const problems = [
     ...findUnknownServices(parsed.data),
     ...findWeightlessRoutes(parsed.data),
-    ...findRepeated('service', parsed.data.services, ({ name }) => name),
-    ...findRepeated('place', parsed.data.routes, ({ host, pathPrefix }) => `${host}${pathPrefix}`),
-    ...findRepeated('key', listKeys(parsed.data), ({ key }) => key, describeKeyOwner),
+    ...findDuplicates('service', parsed.data.services, ({ name }) => name),
+    ...findDuplicates(
+      'place',
+      parsed.data.routes,
+      ({ host, pathPrefix }) => `${host}${pathPrefix}`,
+    ),
+    ...findDuplicates('key', listKeys(parsed.data), ({ key }) => key, describeKeyOwner),
   ];
-  return problems.length === 0 ? new Ok(parsed.data) : refuse(problems);
+  return problems.length === 0 ? new Ok(parsed.data) : createInvalidResult(problems);
 }
 
-function refuse(problems: readonly string[]): Result<RoutingDocument, Failure> {
+function createInvalidResult(problems: readonly string[]): Result<RoutingDocument, Failure> {
   return new Err(createFailure('invalidRouting', problems.join('; ')));
 }
 
@@ -54,12 +58,12 @@
   );
 }
 
-/** A key is a secret, so the message names the account only. */
+/** Keys are secret, so the message names only the account. */
 function describeKeyOwner({ account }: OwnedKey): string {
   return `of account ${account}`;
 }
 
-function findRepeated<Item>(
+function findDuplicates<Item>(
   what: string,
   items: readonly Item[],
   keyOf: (item: Item) => string,
@@ -68,8 +72,8 @@
   const seen = new Set<string>();
   return items.flatMap((item) => {
     const key = keyOf(item);
-    const isRepeated = seen.has(key);
+    const isDuplicate = seen.has(key);
     seen.add(key);
-    return isRepeated ? [`the ${what} ${describe(item)} stands twice`] : [];
+    return isDuplicate ? [`the ${what} ${describe(item)} stands twice`] : [];
   });
 }
--- a/src/routing/instances.ts
+++ b/src/routing/instances.ts
@@ -2,24 +2,24 @@
 
 import { nameSchema } from './names.js';
 
-/** Started upstreams: which start of which instance speaks, and what it says. */
+/** Identities and announcements of upstream instances. */
 
 const identityFields = {
   id: nameSchema,
-  /** Wall time of the start, by the clock of the instance's own host; absent where instances do not name their starts. */
+  /** Wall time of the start, from the clock of the instance's own host; absent if instances do not report their start time. */
   startedAt: z.int().exactOptional(),
 };
 
-/** One start of an instance. Another start under the same id knows nothing of what the one before was told. */
+/** One start of an instance. After a restart under the same id, the instance has none of the state of the previous start. */
 export const instanceIdentitySchema = z.strictObject(identityFields).readonly();
 
-/** An identity in logs and snapshots; older ones hold the id alone. */
+/** An identity in logs and snapshots; older ones contain only the id. */
 export const storedIdentitySchema = z.union([
   nameSchema.transform((id): InstanceIdentity => ({ id })),
   instanceIdentitySchema,
 ]);
 
-/** A started upstream that announced itself. */
+/** An upstream instance that announced itself. */
 export const instanceSchema = z
   .strictObject({
     ...identityFields,
@@ -27,18 +27,18 @@
     /** `ip:port`. */
     address: nameSchema,
     failureDomain: z.string(),
-    /** A draining instance gets no new requests. */
+    /** A draining instance receives no new requests. */
     isDraining: z.boolean(),
   })
   .readonly();
 
-/** What an instance says of itself. */
+/** A message from an instance about itself. */
 export const announcementSchema = z.discriminatedUnion('type', [
   z
     .strictObject({
       type: z.literal('present'),
       instance: instanceSchema,
-      /** Grows with each announcement of one start, so that a late one is known. */
+      /** Increases with each announcement of one start, so that a delayed one can be recognized. */
       sequence: z.int(),
     })
     .readonly(),
@@ -46,12 +46,12 @@
 ]);
 
 /**
- * Why an instance is gone. `left`: it said so. `replaced`: a later start under its id spoke, or another instance took its
- * address. `silent`: it was not heard of any more.
+ * Why an instance is gone. `left`: it announced that it is leaving. `replaced`: a later start under its id announced itself, or another
+ * instance took its address. `silent`: its announcements stopped.
  */
 export const departureReasons = ['left', 'replaced', 'silent'] as const;
 
-/** An instance that is gone, as it is remembered. */
+/** The record of an instance that is gone. */
 export const departedInstanceSchema = z
   .strictObject({ ...identityFields, reason: z.enum(departureReasons) })
   .readonly();
@@ -62,31 +62,31 @@
 export type DepartureReason = (typeof departureReasons)[number];
 export type DepartedInstance = z.infer<typeof departedInstanceSchema>;
 
-/** The identity alone, without what else is known of the instance. */
+/** The identity without the other properties of the instance. */
 export function identityOf({ id, startedAt }: InstanceIdentity): InstanceIdentity {
   return startedAt === undefined ? { id } : { id, startedAt };
 }
 
-/** The identity as text, for keys of maps and for logs. */
+/** Formats an identity for map keys and logs. */
 export function formatIdentity({ id, startedAt }: InstanceIdentity): string {
   return startedAt === undefined ? id : `${id}@${startedAt}`;
 }
 
-/** Whether both are the very same start. */
+/** Whether both are exactly the same start. */
 export function isSameStart(one: InstanceIdentity, other: InstanceIdentity): boolean {
   return one.id === other.id && one.startedAt === other.startedAt;
 }
 
 /**
- * Whether both may be the same start: where one of them does not name it, as in what was stored by an older version, the id alone
- * decides.
+ * Whether both may be the same start. If one of them has no start time, as in data stored by an older version, only the ids are
+ * compared.
  */
 export function isSameInstance(one: InstanceIdentity, other: InstanceIdentity): boolean {
   const isStartKnown = one.startedAt !== undefined && other.startedAt !== undefined;
   return one.id === other.id && (!isStartKnown || one.startedAt === other.startedAt);
 }
 
-/** A set of identities, asked by `isSameInstance`. */
+/** A set of identities with membership by `isSameInstance`. */
 export class InstanceSet {
   readonly #byId = new Map<string, InstanceIdentity[]>();
 
--- a/src/routing/names.ts
+++ b/src/routing/names.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 
-/** Longest name in routing, in characters: names end up in every log line. */
-const longestName = 200;
+/** Limit on the length of names, in characters, because names are part of every log line. */
+const maximumNameLength = 200;
 
-/** Any name in routing documents and in what instances say of themselves. */
-export const nameSchema = z.string().min(1).max(longestName);
+/** A name in a routing document or an announcement of an instance. */
+export const nameSchema = z.string().min(1).max(maximumNameLength);
--- a/src/routing/route-table.ts
+++ b/src/routing/route-table.ts
@@ -1,9 +1,9 @@
 import type { Route, RoutedAccount, RoutedService, RoutingDocument } from './schema.js';
 
-/** A routing document made ready for lookups; made once a version, read for each request. */
+/** Index of a routing document; built once per version and queried for each request. */
 export class RouteTable {
   readonly document: RoutingDocument;
-  /** Routes of each host, the longest prefix first. */
+  /** Routes of each host, longest prefix first. */
   readonly #routes = new Map<string, Route[]>();
   readonly #accounts = new Map<string, RoutedAccount>();
   readonly #services: ReadonlyMap<string, RoutedService>;
@@ -24,12 +24,12 @@
     }
   }
 
-  /** Whether requests on routes that are not public need a key. */
+  /** Whether requests to non-public routes need a key. */
   get needsKeys(): boolean {
     return this.document.accounts !== undefined;
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** The route with the longest prefix that matches the path. */
   findRoute(host: string, path: string): Route | undefined {
     return this.#routes.get(host)?.find(({ pathPrefix }) => path.startsWith(pathPrefix));
   }
@@ -43,7 +43,7 @@
   }
 }
 
-/** The service for one request of a route: by weight, `fraction` drawn evenly from 0 up to 1. */
+/** Chooses the service for one request by weight; `fraction` is drawn uniformly from 0 (inclusive) to 1 (exclusive). */
 export function chooseService({ targets }: Route, fraction: number): string {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
   let left = fraction * total;
--- a/src/routing/schema.ts
+++ b/src/routing/schema.ts
@@ -4,8 +4,8 @@
 import { nameSchema as name } from './names.js';
 
 /**
- * Routing: which requests go to which services, and the groups that engines form.
- * The types follow from the schemas, because all of it crosses the log and the watches as JSON text.
+ * Schemas of routing: which requests go to which services, and which groups the engines form.
+ * The types are inferred from the schemas, because all of these values are sent through the log and the watches as JSON.
  */
 
 /** Milliseconds. */
@@ -16,25 +16,25 @@
 const route = z
   .strictObject({
     name,
-    /** Value of the Host header that it takes. */
+    /** Value of the Host header that the route matches. */
     host: name,
-    /** Begins and ends with a slash; of all routes of a host, the longest that begins the path is taken. */
+    /** Begins and ends with a slash; among the routes of a host, the longest matching prefix wins. */
     pathPrefix: z.string().min(1),
     kind: z.enum(['idempotent', 'nonIdempotent', 'streaming']),
-    /** Longest time, in milliseconds, that a caller is kept waiting for its final answer. */
+    /** Maximum time, in milliseconds, until the caller gets its final answer. */
     timeout: z.number().gt(0),
-    /** Time, in milliseconds, within which an answer (of a stream: its first event) is worth most; absent for none. */
+    /** Latency objective, in milliseconds, for the answer or the first event of a stream; absent for none. */
     objective: duration.exactOptional(),
-    /** Longest pause between events of a stream, in milliseconds, that counts as on time; absent for none. */
+    /** Longest pause between events of a stream, in milliseconds, that meets the objective; absent for none. */
     longestPause: duration.exactOptional(),
     /** 0 is the most urgent. */
     priority: z.number().min(0),
     targets: z.array(routeTarget).min(1).readonly(),
-    /** Upstreams to which one request may be sent, the first included. */
+    /** Maximum number of upstreams to which one request may be sent, including the first. */
     attempts: z.int().min(1),
-    /** Whether it is served without a key. */
+    /** Whether requests are served without a key. */
     isPublic: z.boolean(),
-    /** Whether a stream that broke off may go on at another upstream. */
+    /** Whether an interrupted stream may be resumed at another upstream. */
     isResumable: z.boolean(),
   })
   .readonly();
@@ -42,11 +42,11 @@
 const engineModel = z
   .strictObject({
     name,
-    /** Engines in one group. */
+    /** Number of engines in one group. */
     groupSize: z.int().min(1),
-    /** Part of the work that goes to this model when nothing has been measured yet. */
+    /** Relative share of the work for this model, used until demand has been measured. */
     share: z.number().min(0),
-    /** Factor on all times of a group that serves it. */
+    /** Factor on all durations of a group that serves this model. */
     pace: z.number().gt(0),
     /** Time, in milliseconds, to load the weights from the store. */
     loadDuration: duration,
@@ -57,15 +57,15 @@
 
 const engineProfile = z
   .strictObject({
-    /** Requests that a group works on at once. */
+    /** Number of requests that a group processes concurrently. */
     slots: z.int().min(1),
-    /** Time, in milliseconds, from the order to open until a group serves. */
+    /** Time, in milliseconds, from the order to open until the group serves. */
     openDuration: duration,
-    /** Loads from the weight store that may begin in a second. */
+    /** Number of loads from the weight store that may begin per second. */
     loadsPerSecond: z.number().gt(0),
-    /** Loads that run at full speed beside each other. */
+    /** Number of concurrent loads that run at full speed. */
     concurrentLoads: z.int().min(1),
-    /** Models whose weights a host keeps staged. */
+    /** Number of models whose weights a host keeps staged. */
     stagedModels: z.int().min(1),
     models: z.array(engineModel).min(1).readonly(),
   })
@@ -74,9 +74,9 @@
 const routedService = z
   .strictObject({
     name,
-    /** Connections that one instance takes from all callers together. */
+    /** Maximum number of connections that one instance accepts from all callers together. */
     maximumConnections: z.int().min(1),
-    /** Present where the instances are engines that form groups. */
+    /** Present if the instances are engines that form groups. */
     engine: engineProfile.exactOptional(),
   })
   .readonly();
@@ -85,33 +85,33 @@
   .strictObject({
     name,
     keys: z.array(z.string().min(1)).readonly(),
-    /** Goes before the priority of a route; absent where the account has none. */
+    /** Overrides the priority of the route; absent if the account has none. */
     priority: z.number().min(0).exactOptional(),
   })
   .readonly();
 
-/** Bounds on what callers may send and how long they may take. */
+/** Limits on the size and the duration of caller input. */
 const callerBounds = z
   .strictObject({
     maximumHeaderBytes: z.int().min(1),
     maximumBodyBytes: z.int().min(1),
-    /** Milliseconds for the head of a request. */
+    /** Maximum time, in milliseconds, to receive the head of a request. */
     headerTimeout: duration,
-    /** Milliseconds that a connection may stay idle. */
+    /** Maximum time, in milliseconds, that a connection may be idle. */
     idleTimeout: duration,
   })
   .readonly();
 
-/** A whole routing document; the operator chooses its version, and the highest is in force. */
+/** A complete routing document. The operator chooses its version; the highest version is in effect. */
 export const routingDocumentSchema = z
   .strictObject({
     version: z.int().min(0),
     routes: z.array(route).readonly(),
     services: z.array(routedService).readonly(),
-    /** Absent where callers need no key. */
+    /** Absent if callers need no key. */
     accounts: z.array(routedAccount).readonly().exactOptional(),
     callers: callerBounds,
-    /** The operator's text, given back unchanged to whoever reads the document. */
+    /** The operator's source text, returned unchanged when the document is read. */
     source: z.string(),
   })
   .readonly();
@@ -119,7 +119,7 @@
 const engineMember = z
   .strictObject({
     host: name,
-    /** The instance that was there when the group was placed; an engine that started again is another one. */
+    /** The instance at the time of placement; a restarted engine is a different instance. */
     instance: storedIdentitySchema,
     /** `ip:port` of the engine. */
     address: name,
@@ -127,9 +127,10 @@
   .readonly();
 
 /**
- * How far a group of engines has come.
- * `joining`: its members are ordered to join; it was never ordered to open. `opening`: the head may open at any moment.
- * `open`: it serves. `draining`: no new requests, those under way go on. `closing`: the head is ordered to close.
+ * Phase in the life cycle of a group of engines.
+ * `joining`: the members are ordered to join; the head was never ordered to open. `opening`: the head is ordered to open and may open at
+ * any moment. `open`: the group serves. `draining`: no new requests are sent; running ones continue. `closing`: the head is ordered to
+ * close.
  */
 export const enginePhases = ['joining', 'opening', 'open', 'draining', 'closing'] as const;
 
@@ -137,11 +138,11 @@
 export const engineGroupSchema = z
   .strictObject({
     name,
-    /** Grows with every group placed; engines refuse orders with a lower one. */
+    /** Increases with every placed group; engines refuse orders with a lower number. */
     fencingNumber: z.int().min(1),
     service: name,
     model: name,
-    /** The first is the head, which takes the requests. */
+    /** The first member is the head, which receives the requests. */
     members: z.array(engineMember).min(1).readonly(),
     phase: z.enum(enginePhases),
   })
@@ -151,34 +152,34 @@
   .strictObject({
     group: name,
     fencingNumber: z.int(),
-    /** As the engine says it. */
+    /** As reported by the engine. */
     state: z.enum(['joining', 'ready', 'open', 'closing', 'broken']),
   })
   .readonly();
 
-/** What an engine says of itself when it is asked by its own sidecar. */
+/** The state that an engine reports when its sidecar queries it. */
 export const engineReadingSchema = z
   .strictObject({
     instance: storedIdentitySchema,
-    /** Where the links between engines are fast. */
+    /** Domain within which the links between engines are fast. */
     fabricDomain: z.string(),
-    /** Models whose weights are on the host. */
+    /** Models whose weights are staged on the host. */
     staged: z.array(name).readonly(),
     membership: membership.exactOptional(),
-    /** Whether an order is under way. */
+    /** Whether the engine is executing an order. */
     isBusy: z.boolean(),
     running: z.int().min(0),
     waiting: z.int().min(0),
-    /** Over 1 where the engine is slower than it should be. */
+    /** Greater than 1 if the engine is slower than expected. */
     slowdown: z.number(),
   })
   .readonly();
 
 /**
- * Why a sidecar has no reading of its engine. `notAsked`: it started a moment ago, and no answer has come yet. `notIdentified`: the engine
- * answers, and which instance it is could not be found out. `unanswered`: the last question got no answer in time, or its connection broke.
- * `silent`: that has gone on for a while. `unreadable`: what answers has said nothing that can be read for a while. `refused`: nothing
- * listens at the engine's address; only this shows that the engine has ended.
+ * Why a sidecar has no reading of its engine. `notAsked`: the sidecar has just started and has no answer yet. `notIdentified`: the engine
+ * answers, but its instance could not be determined. `unanswered`: the last query timed out or its connection broke. `silent`: queries
+ * have been unanswered for a while. `unreadable`: answers could not be parsed for a while. `refused`: nothing listens at the engine's
+ * address; only this proves that the engine has ended.
  */
 const engineAbsences = [
   'notAsked',
@@ -189,7 +190,7 @@
   'refused',
 ] as const;
 
-/** What a sidecar tells the leader of its engine. */
+/** What a sidecar reports to the leader about its engine. */
 export const engineFactsSchema = z
   .strictObject({
     failureDomain: z.string(),
@@ -197,9 +198,9 @@
     address: name,
     service: name,
     reading: engineReadingSchema.exactOptional(),
-    /** Why there is no reading; absent where there is one. */
+    /** Why there is no reading; absent if there is one. */
     absence: z.enum(engineAbsences).exactOptional(),
-    /** Model of the last group that this engine was ready in; absent for none since it started. */
+    /** Model of the last group in which this engine was ready; absent if there was none since it started. */
     lastModel: name.exactOptional(),
   })
   .readonly();
--- a/src/routing/upstream-limits.ts
+++ b/src/routing/upstream-limits.ts
@@ -20,7 +20,7 @@
 
 interface KnownLimit {
   readonly requestsPerSecond: number | undefined;
-  readonly heardAt: Milliseconds;
+  readonly receivedAt: Milliseconds;
 }
 
 /** Stores the most recent rate limit of each upstream. */
@@ -35,7 +35,7 @@
   /** Records the limit in an answer. Returns whether it differs from the previous one. */
   noteLimit(upstream: string, requestsPerSecond: number, now: Milliseconds): boolean {
     const previous = this.find(upstream);
-    this.#limits.set(upstream, { requestsPerSecond, heardAt: now });
+    this.#limits.set(upstream, { requestsPerSecond, receivedAt: now });
     return previous !== requestsPerSecond;
   }
 
@@ -45,33 +45,33 @@
    */
   noteUnlimited(upstream: string, sentAt: Milliseconds, now: Milliseconds): boolean {
     const known = this.#limits.get(upstream);
-    if (known?.requestsPerSecond === undefined || sentAt <= known.heardAt) {
+    if (known?.requestsPerSecond === undefined || sentAt <= known.receivedAt) {
       return false;
     }
-    this.#limits.set(upstream, { requestsPerSecond: undefined, heardAt: now });
+    this.#limits.set(upstream, { requestsPerSecond: undefined, receivedAt: now });
     return true;
   }
 
   /** Merges the limits known to another process; the most recent one of each upstream is kept. */
   merge(limits: readonly UpstreamLimit[], now: Milliseconds): void {
     for (const { upstream, requestsPerSecond, age } of limits) {
-      const heardAt = now - age;
+      const receivedAt = now - age;
       const known = this.#limits.get(upstream);
-      if (known === undefined || heardAt > known.heardAt) {
-        this.#limits.set(upstream, { requestsPerSecond, heardAt });
+      if (known === undefined || receivedAt > known.receivedAt) {
+        this.#limits.set(upstream, { requestsPerSecond, receivedAt });
       }
     }
   }
 
   /** All limits and recent ends of limits, to be merged by other processes. */
   list(now: Milliseconds): readonly UpstreamLimit[] {
-    for (const [upstream, { requestsPerSecond, heardAt }] of this.#limits) {
-      if (requestsPerSecond === undefined && now - heardAt > endRetention) {
+    for (const [upstream, { requestsPerSecond, receivedAt }] of this.#limits) {
+      if (requestsPerSecond === undefined && now - receivedAt > endRetention) {
         this.#limits.delete(upstream);
       }
     }
-    return [...this.#limits].map(([upstream, { requestsPerSecond, heardAt }]) => {
-      return { upstream, requestsPerSecond, age: now - heardAt };
+    return [...this.#limits].map(([upstream, { requestsPerSecond, receivedAt }]) => {
+      return { upstream, requestsPerSecond, age: now - receivedAt };
     });
   }
 
