--- a/__tests__/state/claims.test.ts
+++ b/__tests__/state/claims.test.ts
@@ -18,7 +18,7 @@
   return { type: 'settleClaim', at, account: 'desk', key: 'key-1', requestId, outcome };
 }
 
-/** Answers to the commands in turn; for a refusal its code. */
+/** Answers to the commands in order; a refusal gives its result code. */
 function answerAll(commands: readonly Command[]): readonly string[] {
   let state: ControlState = initialControlState;
   return commands.map((command) => {
@@ -33,7 +33,7 @@
 }
 
 describe('claims of idempotency keys', () => {
-  it('tells a repeat what became of the first request', () => {
+  it('answers a repeated request with the state of the first one', () => {
     const answers = answerAll([
       claim('first', 0),
       claim('repeat', 1),
@@ -54,9 +54,8 @@
     ]);
   });
 
-  // Symptom: a caller told "not run" sends the request again and is refused for a day.
-  // Sequence: the gateway gives up its claim as uncertain and settles it as not run; then the claim commits.
-  // Cause: the late claim takes a key for a request that nobody runs any more.
+  // Guards against refusing a caller for a day after telling it "not run". The gateway gives up on its claim as uncertain and
+  // settles it as not run; then the claim commits and holds the key for a request that never runs.
   it('refuses a claim that arrives after its own request was settled as not run', () => {
     const answers = answerAll([
       settle('first', 0, 'notRun'),
@@ -66,10 +65,9 @@
     expect(answers).toEqual(['settled', 'tombstoned', 'claimed']);
   });
 
-  // Symptom: a request runs twice within a day although its key was claimed.
-  // Sequence: the first ran; a late report of an earlier attempt says not run; the caller repeats.
-  // Cause: a later settlement overwrites an ending that was final.
-  it('keeps the first final ending', () => {
+  // Guards against running a request twice within a day although its key was claimed. The first request ran; a late report of
+  // an earlier attempt says not run and must not overwrite the final outcome; then the caller repeats the request.
+  it('keeps the first final outcome', () => {
     const answers = answerAll([
       claim('first', 0),
       settle('first', 1, 'ran'),
@@ -88,7 +86,7 @@
     expect(answerAll([...commands, claim('repeat', 24 * hour)]).at(-1)).toBe('claimed');
   });
 
-  it('drops expired claims as commands go by', () => {
+  it('drops expired claims as commands are applied', () => {
     let { state } = applyCommand(initialControlState, claim('first', 0));
     for (let step = 0; step < 4096; step += 1) {
       state = applyCommand(state, settle('nobody', 24 * hour, 'notRun')).state;
--- a/__tests__/state/commands.ts
+++ b/__tests__/state/commands.ts
@@ -3,14 +3,14 @@
 import { emptyConfiguration } from '../../src/configuration/index.js';
 import type { Change, Command, ControlState } from '../../src/control/state/index.js';
 
-/** Random commands over few names, so that ids, keys, hosts and revisions collide often. */
+/** Generators of random commands with few names, so that ids, keys, hosts and revisions collide often. */
 
 export const propertyParameters = {
   seed: 20_261_202,
   numRuns: Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? 300),
 };
 
-/** A command whose base revision or index is taken from the state when its turn comes. */
+/** Creates a command whose base revision or index comes from the state when the step runs. */
 export type Step = (state: ControlState, at: number) => Command;
 
 const changeFields = fc.record({
@@ -105,7 +105,7 @@
   .tuple(claimFields, fc.constantFrom('notRun', 'ran', 'unknown'))
   .map(([fields, outcome]) => (_state, at) => ({ type: 'settleClaim', ...fields, outcome, at }));
 
-/** One step and the hours that pass before it. */
+/** A step and the hours that pass before it. */
 export interface TimedStep {
   readonly step: Step;
   readonly hours: number;
--- a/__tests__/state/naive-register.test.ts
+++ b/__tests__/state/naive-register.test.ts
@@ -9,7 +9,7 @@
 } from '../../src/control/state/index.js';
 import { changeSteps, isChange, propertyParameters } from './commands.js';
 
-/** One copy, plain lists, no snapshots: what the replicated state must be indistinguishable from. */
+/** Reference model that the replicated state must match: a single copy with plain lists and no snapshots. */
 class NaiveRegister {
   readonly #all: { readonly change: Change; readonly answer: string }[] = [];
   readonly #accepted: Change[] = [];
@@ -66,7 +66,7 @@
   };
 }
 
-describe('changes against a naive single-copy register', () => {
+describe('changes compared with a naive single-copy register', () => {
   it('gives the same answers and ends in the same state', () => {
     fc.assert(
       fc.property(changeSteps, (steps) => {
--- a/__tests__/state/properties.test.ts
+++ b/__tests__/state/properties.test.ts
@@ -6,7 +6,7 @@
   claimLifetimeMilliseconds,
   ControlStateMachine,
   initialControlState,
-  type Applied,
+  type ApplyResult,
   type Command,
   type ControlState,
 } from '../../src/control/state/index.js';
@@ -17,7 +17,7 @@
 interface Transition {
   readonly command: Command;
   readonly before: ControlState;
-  readonly applied: Applied;
+  readonly applied: ApplyResult;
 }
 
 function run(timedSteps: readonly TimedStep[]): readonly Transition[] {
@@ -42,11 +42,10 @@
   );
 }
 
-describe('replicated state of control, random commands', () => {
-  // Symptom: two operators both read "accepted" and one of them finds the other's change in force.
-  // Sequence: both change revision 7; both commands are committed, one after the other.
-  // Cause: the base revision is not compared when the command is applied, only when it is received.
-  it('accepts one change a revision, each made from the revision before it', () => {
+describe('replicated state of control under random commands', () => {
+  // Guards against two operators both being told "accepted" although one change overwrites the other. Both changes are based on
+  // revision 7 and are committed one after the other, and the base revision is compared only on receipt, not on application.
+  it('accepts one change per revision, each based on the previous revision', () => {
     holds((transitions) => {
       const winners = new Map<number, string>();
       for (const { command, before, applied } of transitions) {
@@ -62,10 +61,10 @@
     });
   });
 
-  // Symptom: an operator who lost the answer resends, and the change is applied a second time or refused.
-  // Sequence: change accepted, answer lost, other changes, same command again (with the leader's new time).
-  // Cause: the answer was not kept, or the leader's stamp counted as part of the change.
-  it('answers a resent change as it did first and changes nothing', () => {
+  // Guards against applying a resent change twice or refusing it. A change is accepted, its answer is lost, other changes
+  // follow, and the same command arrives again with a new leader timestamp. It fails if the answer was not kept, or if the
+  // timestamp counts as part of the change.
+  it('gives a resent change its first answer and changes nothing', () => {
     holds((transitions) => {
       const last = transitions.at(-1)?.applied.state ?? initialControlState;
       const firstAnswers = new Map<string, Transition>();
@@ -84,10 +83,9 @@
     });
   });
 
-  // Symptom: a sidecar takes an order of an earlier placement for the present one.
-  // Sequence: group placed, dissolved, placed again with other members.
-  // Cause: the number was counted per group, or given back by a dissolved one.
-  it('gives fencing numbers that only grow, one to each placement', () => {
+  // Guards against a sidecar mistaking an order of an earlier placement for a current one. A group is placed, dissolved and
+  // placed again with other members. It fails if numbers are counted per group, or reused after a group is dissolved.
+  it('assigns increasing fencing numbers, one to each placement', () => {
     holds((transitions) => {
       const owners = new Map<number, string>();
       for (const { before, applied } of transitions) {
@@ -104,10 +102,10 @@
     });
   });
 
-  // Symptom: a host is asked for leases by two groups and neither becomes whole.
-  // Sequence: two placements, each right by itself, name the same host.
-  // Cause: the placement is checked against the groups it was decided from, not against those it meets.
-  it('never places a host in two groups and ignores decisions from before the last placement', () => {
+  // Guards against two groups asking one host for leases, so that neither becomes complete. Two placements, each valid by
+  // itself, name the same host. It fails if a placement is checked only against the groups that the decision was based on,
+  // not against those that exist when it is applied.
+  it('never places a host in two groups and refuses decisions from before the last placement', () => {
     holds((transitions) => {
       for (const { command, before, applied } of transitions) {
         const hosts = [...applied.state.groups.values()].flatMap((group) =>
@@ -122,9 +120,9 @@
     });
   });
 
-  // Symptom: the council receives one submission twice.
-  // Sequence: the caller repeats a request through another gateway while, or after, the first runs.
-  // Cause: the second claim of the key is granted although the first was not freed and has not expired.
+  // Guards against running a request twice: the council, for example, would receive one submission twice. The caller repeats
+  // a request through another gateway while the first runs, or afterwards, and the second claim of the key is granted
+  // although the first was neither freed nor expired.
   it('grants a key to one request until it is freed or expires', () => {
     holds((transitions) => {
       const owners = new Map<string, { readonly requestId: string; readonly at: number }>();
@@ -147,9 +145,8 @@
     });
   });
 
-  // Symptom: after a restart a control host answers a resend or a repeat differently from the others.
-  // Sequence: commands, snapshot, restart from the snapshot, more commands.
-  // Cause: something that answers depend on is missing from the snapshot.
+  // Guards against a control host that answers a resent change or a repeated request differently from the others after it
+  // restarts from a snapshot. It fails if the snapshot lacks something that answers depend on.
   it('answers the same when it is restored from a snapshot after every command', () => {
     fc.assert(
       fc.property(steps, (timedSteps) => {
--- a/__tests__/state/routing-state.test.ts
+++ b/__tests__/state/routing-state.test.ts
@@ -38,24 +38,24 @@
 }
 
 describe('routing documents in the replicated state', () => {
-  it('keeps the highest version whatever the order in which they come', () => {
+  it('keeps the highest version regardless of the order of arrival', () => {
     const state = applyAll([putVersion(3, 'three'), putVersion(7, 'seven'), putVersion(5, 'five')]);
     expect(state.routing.document?.source).toBe('seven');
   });
 
-  it('answers an older version alike and changes nothing', () => {
+  it('answers an older version with the current one and changes nothing', () => {
     const before = applyAll([putVersion(7, 'seven')]);
     const { state, answer } = applyCommand(before, putVersion(5, 'five'));
     expect(answer).toEqual({ type: 'routed', version: 7 });
     expect(state.routing).toBe(before.routing);
   });
 
-  it('does not take other content under the version held', () => {
+  it('ignores different content under the current version', () => {
     const state = applyAll([putVersion(7, 'seven'), putVersion(7, 'another seven')]);
     expect(state.routing.document?.source).toBe('seven');
   });
 
-  it('comes back whole from a snapshot', () => {
+  it('is restored completely from a snapshot', () => {
     const state = applyAll([
       putVersion(7, 'seven'),
       announce('i-1', '10.0.0.1:1'),
@@ -80,7 +80,7 @@
     });
   });
 
-  it('reads a snapshot that was taken before there was routing', () => {
+  it('reads a snapshot of a version without routing', () => {
     const older = JSON.parse(encodeSnapshot(initialControlState)) as Record<string, unknown>;
     delete older.routing;
     expect(decodeSnapshot(JSON.stringify(older))).toEqual(initialControlState);
@@ -89,10 +89,10 @@
 
 describe('instances in the replicated state', () => {
   /**
-   * Symptom: requests go to an instance that crashed. A heartbeat that a partition held back arrives after another instance
-   * has registered at the same address; taken as new, it would evict the living one.
+   * Guards against sending requests to a crashed instance. A heartbeat delayed by a network partition arrives after another
+   * instance has registered at the same address; if it counted as new, it would evict the running instance.
    */
-  it('does not take a replaced instance back', () => {
+  it('does not add a replaced instance again', () => {
     const state = applyAll([
       announce('old', '10.0.0.1:1'),
       announce('new', '10.0.0.1:1'),
@@ -101,7 +101,7 @@
     expect([...state.routing.instances.keys()]).toEqual(['new']);
   });
 
-  it('takes back one that was only silent', () => {
+  it('adds an instance again that was only silent', () => {
     const state = applyAll([
       announce('a', '10.0.0.1:1'),
       { type: 'recordInstances', at: 0, present: [], retired: [], silent: [{ id: 'a' }] },
@@ -111,7 +111,7 @@
   });
 });
 
-describe('groups of engines in the replicated state', () => {
+describe('engine groups in the replicated state', () => {
   it('gives each placement a higher fencing number', () => {
     const first = applyAll([placeGroup('small/1', ['h1', 'h2'], 0)]);
     const { engineGroupsIndex } = first.routing;
@@ -132,10 +132,10 @@
   });
 
   /**
-   * Symptom: two groups of one engine. A leader that does not know yet that it lost its place decides from an older state, and
-   * the new leader has placed the same engines meanwhile.
+   * Guards against placing one engine in two groups. A leader that does not know yet that it was deposed decides from an
+   * older state, while the new leader has already placed the same engines.
    */
-  it('ignores a decision that was made from an older state', () => {
+  it('refuses a decision based on an older state', () => {
     const first = applyAll([placeGroup('small/1', ['h1', 'h2'], 0)]);
     const { answer } = applyCommand(first, placeGroup('small/2', ['h3', 'h4'], 0));
     expect(answer).toMatchObject({ type: 'refused', failure: { code: 'stalePlacement' } });
--- a/src/control/control-client.ts
+++ b/src/control/control-client.ts
@@ -11,40 +11,39 @@
 import type { RpcClientPool } from '../wire/index.js';
 import { decodeCommandAnswer, type Command, type CommandAnswer } from './state/index.js';
 
-/** Submits commands from gateways: to one control host, and to the others when it cannot answer. */
+/** Submits commands from gateways to one control host, and to the others if it cannot answer. */
 
-/** Options of the client. */
 export interface ControlClientOptions {
   readonly control: readonly string[];
   readonly clients: RpcClientPool;
-  /** How long one control host may take. */
+  /** Timeout of the call to one control host. */
   readonly timeout: Milliseconds;
   readonly random: RandomSource;
 }
 
 export class ControlClient {
   readonly #options: ControlClientOptions;
-  #turn: number;
+  #preferred: number;
 
   constructor(options: ControlClientOptions) {
     this.#options = options;
-    this.#turn = options.random.integerBelow(options.control.length);
+    this.#preferred = options.random.integerBelow(options.control.length);
   }
 
   /**
-   * Resolves with the first definite answer; with the last failure when no control host has one.
-   * The same command may reach the log twice, so only commands that are idempotent by their own identifier go here.
+   * Resolves with the first definite answer, or with the last failure if no control host gives one.
+   * A command may be appended to the log twice, so only commands that are idempotent by their own identifier may be submitted.
    */
   async submit(command: Command): Promise<Result<CommandAnswer, Failure>> {
     const { control } = this.#options;
     let failure = createFailure('noQuorum', 'no control host answered');
-    for (const address of rotate(control, this.#turn)) {
+    for (const address of rotate(control, this.#preferred)) {
       const result = await this.#submitTo(address, command);
       if (result.ok) {
         return result;
       }
       failure = result.val;
-      this.#turn += 1;
+      this.#preferred += 1;
     }
     return new Err(failure);
   }
@@ -62,7 +61,7 @@
       const code = findResultCodeName(response.resultCode);
       return new Err(createFailure(code, response.message, response.retryAfterMilliseconds));
     } catch (error) {
-      // The connection may have gone silent for good while a new one works.
+      // The connection may be dead without having been closed, so the next call uses a new one.
       clients.retire(address);
       return new Err(createFailure('changeUncertain', String(error)));
     }
--- a/src/control/describe-published.ts
+++ b/src/control/describe-published.ts
@@ -3,7 +3,7 @@
 import type { ControlState } from './state/index.js';
 import type { PublishedState } from './watch-hub.js';
 
-/** What watchers are told of the replicated state and of the reports of lead sidecars. */
+/** Builds the state that watchers get from the replicated state and the reports of lead sidecars. */
 export function describePublished(state: ControlState, directory: HostDirectory): PublishedState {
   const { index, revision, configuration, groups } = state;
   const watched = [...groups.values()].map((group): [string, WatchedGroup] => {
--- a/src/control/host-directory.ts
+++ b/src/control/host-directory.ts
@@ -9,33 +9,33 @@
   type Revision,
 } from '../model/index.js';
 
-/** What the sidecars last reported, as one control host knows it. Not replicated: reports come again within a second. */
+/** The latest reports of sidecars that one control host knows of. They are not replicated, because sidecars report every second. */
 
 /** One report of a sidecar. */
 export interface HostReport {
   readonly host: HostName;
   readonly incarnation: Incarnation;
-  /** Undefined when nothing changed since the last one. */
+  /** Undefined if unchanged since the last report. */
   readonly facts: HostFacts | undefined;
   readonly configurationRevision: Revision;
   readonly groups: readonly GroupHealth[];
   readonly isDraining: boolean;
   readonly isLeaving: boolean;
-  /** Grows with each report of one incarnation. */
+  /** Increases with each report of one incarnation. */
   readonly sequence: number;
-  /** Sequence of the report that first carried the facts in force. */
+  /** Sequence of the report that first carried the current facts. */
   readonly factsSequence: number;
 }
 
-/** What became of a report. */
+/** Result of recording a report. */
 export type ReportVerdict =
   | 'taken'
-  /** A newer one was taken before. */
+  /** A newer report has already been recorded. */
   | 'old'
-  /** It leaves out facts that this control host never got. */
+  /** The report omits facts that this control host has never received. */
   | 'factsMissing';
 
-/** A host and when it was last heard of. */
+/** A host, its last report and the time of that report. */
 export interface ReportedHost {
   readonly facts: HostFacts;
   readonly lastHeard: Milliseconds;
@@ -45,29 +45,29 @@
   readonly factsSequence: number;
 }
 
-/** Starts of one host that are remembered as over. */
-const rememberedStarts = 8;
+/** Number of ended incarnations that are kept for each host. */
+const maximumFormerIncarnations = 8;
 
-/** What is kept of a host, also after it left. */
+/** Data kept to detect old reports of a host, even after it has left. */
 interface KnownHost {
   readonly incarnation: Incarnation;
   readonly sequence: number;
   readonly factsSequence: number;
-  /** Earlier starts, newest first. */
+  /** Earlier incarnations, newest first. */
   readonly formerIncarnations: readonly Incarnation[];
 }
 
 /**
- * The hosts by name.
- * A report comes straight from its sidecar or by another control host, and a sidecar changes the way when a connection breaks.
- * So an old report may come after a newer one; taken, it would show a state that is over for as long as nothing
- * changes, since heartbeats leave the facts out. Sequences and the starts that are over tell old reports.
+ * Hosts by name.
+ * A report arrives directly from its sidecar or through another control host, and a sidecar switches between them when a
+ * connection breaks. So an old report may arrive after a newer one. If it were accepted, its outdated facts would stay
+ * until the next change, since heartbeats omit the facts. Old reports are detected by sequence and by former incarnations.
  */
 export class HostDirectory {
   readonly #known = new Map<HostName, KnownHost>();
   readonly #reported = new Map<HostName, ReportedHost>();
 
-  /** Takes a report heard at `now`. */
+  /** Records a report received at `now`. */
   take(report: HostReport, now: Milliseconds): ReportVerdict {
     const known = this.#known.get(report.host);
     if (known !== undefined && isOld(report, known)) {
@@ -79,7 +79,7 @@
     }
     const reported = report.isLeaving ? undefined : describeHost(report, facts, now);
     const { incarnation, sequence, factsSequence } = report;
-    const formerIncarnations = listFormer(report, known);
+    const formerIncarnations = listFormerIncarnations(report, known);
     this.#known.set(report.host, { incarnation, sequence, factsSequence, formerIncarnations });
     if (reported === undefined) {
       this.#reported.delete(report.host);
@@ -89,7 +89,7 @@
     return 'taken';
   }
 
-  /** Hosts that have announced themselves and have not left. */
+  /** Hosts that have reported and have not left. */
   read(): ReadonlyMap<HostName, ReportedHost> {
     return this.#reported;
   }
@@ -100,7 +100,7 @@
     return isSameStart && isSameFacts ? this.#reported.get(report.host)?.facts : undefined;
   }
 
-  /** What the lead of a group last said of it; undefined until it spoke of this very placement. */
+  /** Health that the lead of a group last reported; undefined until it reports on this very placement. */
   findHealth(group: Group): GroupHealth | undefined {
     const lead = this.#reported.get(findLead(group).host);
     return lead?.groups.find(
@@ -127,9 +127,12 @@
   };
 }
 
-function listFormer(report: HostReport, known: KnownHost | undefined): readonly Incarnation[] {
+function listFormerIncarnations(
+  report: HostReport,
+  known: KnownHost | undefined,
+): readonly Incarnation[] {
   if (known === undefined || known.incarnation === report.incarnation) {
     return known?.formerIncarnations ?? [];
   }
-  return [known.incarnation, ...known.formerIncarnations].slice(0, rememberedStarts);
+  return [known.incarnation, ...known.formerIncarnations].slice(0, maximumFormerIncarnations);
 }
--- a/src/control/hosts/host-health.ts
+++ b/src/control/hosts/host-health.ts
@@ -1,28 +1,28 @@
 import { assertNever, type Controller, type Milliseconds } from '../../common/index.js';
 import type { HostName, Policy } from '../../model/index.js';
 import type { HostAvailability } from '../../placement/index.js';
-import { scaleHoldBack } from './hold-back.js';
-import { ReturnEstimate } from './return-estimate.js';
+import { computeQuarantineScale } from './flap-damping.js';
+import { ReturnEstimate } from './return-estimator.js';
 import type { HostHealthEffect, HostHealthEvent, HostHealthOptions, HostSign } from './types.js';
-import { judgeSilences } from './watcher-suspicion.js';
-import { WatchedHost } from './watched-host.js';
+import { detectIsolation } from './isolation-detection.js';
+import { TrackedHost } from './tracked-host.js';
 
-/** Share of the time of suspicion from which on a heartbeat is late: well beyond one interval and its way through a follower. */
-const lateShare = 0.75;
-/** Share of a strike for a heartbeat that came late: a straggler is held back after several. */
-const lateStrike = 0.25;
+/** A heartbeat is late after this share of `suspectAfter`: well beyond one interval plus the forwarding by a follower. */
+const lateHeartbeatShare = 0.75;
+/** Penalty for a late heartbeat, as a fraction of that for a failure: a slow host is quarantined after several. */
+const lateHeartbeatPenalty = 0.25;
 
-/** Follows the hosts of a deployment by their reports; runs on the control host that leads. */
+/** Tracks the availability of all hosts by their reports; runs on the leading control host. */
 export class HostHealth implements Controller<HostHealthEvent, HostHealthEffect> {
   readonly #options: HostHealthOptions;
-  readonly #hosts = new Map<HostName, WatchedHost>();
+  readonly #hosts = new Map<HostName, TrackedHost>();
   readonly #returns: ReturnEstimate;
-  #holdBackScale = 1;
-  #isWatcherSuspected = false;
-  /** When the suspicion of this control host itself began; undefined while there is none. */
-  #watcherSuspectedAt: Milliseconds | undefined;
-  /** When this control host last had a reason to doubt its own hearing. */
-  #doubtedAt: Milliseconds = -Infinity;
+  #quarantineScale = 1;
+  #isIsolationSuspected = false;
+  /** When this control host began to suspect that it is isolated; undefined while it does not. */
+  #isolationSuspectedAt: Milliseconds | undefined;
+  /** When this control host was last paused or possibly isolated, so that silences until then prove nothing about hosts. */
+  #lastUnreliableAt: Milliseconds = -Infinity;
   #lastEventAt: Milliseconds = Infinity;
 
   constructor(options: HostHealthOptions, policy: Policy) {
@@ -32,147 +32,152 @@
       options.outageDuration,
       options.restartShare,
     );
-    this.#holdBackScale = scaleHoldBack(policy);
+    this.#quarantineScale = computeQuarantineScale(policy);
   }
 
-  /** Whether losses are not to be acted upon now, because this control host may be the one that is cut off. */
+  /** Whether to ignore host losses now, because this control host itself may be isolated from the network. */
   get isWatcherSuspected(): boolean {
-    return this.#isWatcherSuspected;
+    return this.#isIsolationSuspected;
   }
 
-  /** What control makes of a host; one never heard of is gone. */
+  /** Availability of a host for placement; a host that never reported is gone. */
   availabilityOf(name: HostName, now: Milliseconds): HostAvailability {
     const host = this.#hosts.get(name);
     return host === undefined ? { type: 'gone' } : this.#availability(host, now);
   }
 
-  /** Whether the host is there, whatever its upstream does and however it is held back. */
+  /** Whether the host reports, regardless of the health of its upstream and of a quarantine. */
   isHeard(name: HostName, now: Milliseconds): boolean {
     const host = this.#hosts.get(name);
     return host !== undefined && !host.hasLeft && !host.isSilent(now);
   }
 
   handle(event: HostHealthEvent): readonly HostHealthEffect[] {
-    this.#noticePause(event.now);
+    this.#detectPause(event.now);
     switch (event.type) {
       case 'reported':
-        return this.#noteSign(event.sign, event.via, event.now);
+        return this.#recordReport(event.sign, event.via, event.now);
       case 'connectionClosed':
-        this.#hosts.get(event.host)?.noteClosed(event.now);
+        this.#hosts.get(event.host)?.recordConnectionClosed(event.now);
         return this.#review(event.now);
       case 'missed':
-        return this.#noteMissed(event.host, event.now);
+        return this.#recordMissing(event.host, event.now);
       case 'ticked':
         return this.#review(event.now);
       case 'leadershipTaken':
-        return this.#forgetSilences(event.now);
+        return this.#resetSilences(event.now);
       case 'policyChanged':
-        this.#holdBackScale = scaleHoldBack(event.policy);
+        this.#quarantineScale = computeQuarantineScale(event.policy);
         return [];
       default:
         return assertNever(event);
     }
   }
 
-  #noteMissed(name: HostName, now: Milliseconds): readonly HostHealthEffect[] {
+  #recordMissing(name: HostName, now: Milliseconds): readonly HostHealthEffect[] {
     const host = this.#hosts.get(name);
     if (host === undefined) {
       return [];
     }
-    host.noteMissed();
+    host.recordMissing();
     return this.#reviewHost(host, now);
   }
 
-  /** A control host that stood still finds everybody late; that says nothing of the hosts. */
-  #noticePause(now: Milliseconds): void {
+  /** After a pause of this process all hosts seem late, which says nothing about the hosts. */
+  #detectPause(now: Milliseconds): void {
     if (now - this.#lastEventAt > this.#options.suspectAfter / 2) {
-      this.#doubtedAt = now;
+      this.#lastUnreliableAt = now;
     }
     this.#lastEventAt = now;
   }
 
-  #noteSign(sign: HostSign, via: string, now: Milliseconds): readonly HostHealthEffect[] {
-    const known = this.#hosts.get(sign.host);
-    const host = known ?? new WatchedHost(sign, this.#options, now);
-    this.#hosts.set(sign.host, host);
+  #recordReport(report: HostSign, via: string, now: Milliseconds): readonly HostHealthEffect[] {
+    const known = this.#hosts.get(report.host);
+    const host = known ?? new TrackedHost(report, this.#options, now);
+    this.#hosts.set(report.host, host);
     const wasSilent = host.isSilent(now);
     if (known !== undefined) {
-      this.#countStrikes(host, sign, now);
+      this.#addPenalties(host, report, now);
     }
-    if (host.noteSign(sign, via, now) === 'recovered') {
-      host.strike(now, 1, this.#holdBackScale);
+    if (host.recordReport(report, via, now) === 'recovered') {
+      host.addPenalty(now, 1, this.#quarantineScale);
     }
-    // The other hosts need no new look for a heartbeat: that would cost their number squared each second.
-    if (wasSilent || this.#isWatcherSuspected) {
+    // A heartbeat does not affect the other hosts; reviewing all of them for each would be quadratic in their number every second.
+    if (wasSilent || this.#isIsolationSuspected) {
       return this.#review(now);
     }
     return this.#reviewHost(host, now);
   }
 
-  /** A return after an unplanned silence, or another start without a good-bye, is a strike; a late heartbeat a part of one. */
-  #countStrikes(host: WatchedHost, sign: HostSign, now: Milliseconds): void {
-    const isDoubtful = host.heardAt <= this.#doubtedAt || host.isBehindSuspectedRelay(now);
-    if (host.hasLeft || isDoubtful) {
+  /** Adds a full penalty for a return after an unplanned silence or a restart without notice, and a fraction for a late heartbeat. */
+  #addPenalties(host: TrackedHost, report: HostSign, now: Milliseconds): void {
+    const isUnreliable =
+      host.lastHeardAt <= this.#lastUnreliableAt || host.isBehindSuspectedRelay(now);
+    if (host.hasLeft || isUnreliable) {
       return;
     }
-    const silence = now - host.heardAt;
-    const hasRestarted = host.incarnation !== sign.incarnation;
+    const silence = now - host.lastHeardAt;
+    const hasRestarted = host.incarnation !== report.incarnation;
     if (host.isSilent(now) || hasRestarted) {
-      this.#returns.noteReturn(silence);
-      host.strike(now, 1, this.#holdBackScale);
+      this.#returns.recordReturn(silence);
+      host.addPenalty(now, 1, this.#quarantineScale);
       return;
     }
-    if (silence > this.#options.suspectAfter * lateShare) {
-      host.strike(now, lateStrike, this.#holdBackScale);
+    if (silence > this.#options.suspectAfter * lateHeartbeatShare) {
+      host.addPenalty(now, lateHeartbeatPenalty, this.#quarantineScale);
     }
   }
 
-  /** Looks at all hosts again and tells what changed. */
+  /** Reviews all hosts and returns what changed. */
   #review(now: Milliseconds): readonly HostHealthEffect[] {
-    const sightings = [...this.#hosts.values()]
-      .filter((host) => !host.hasLeft && host.reviewedStanding !== 'gone')
-      .map((host) => host.sight(now));
-    const { isWatcherSuspected, suspectedRelays } = judgeSilences(sightings);
-    const effects: HostHealthEffect[] = [...this.#changeSuspicion(isWatcherSuspected, now)];
+    const observations = [...this.#hosts.values()]
+      .filter((host) => !host.hasLeft && host.reviewedStatus !== 'gone')
+      .map((host) => host.observe(now));
+    const { isIsolationSuspected, suspectedRelays } = detectIsolation(observations);
+    const effects: HostHealthEffect[] = [
+      ...this.#updateIsolationSuspicion(isIsolationSuspected, now),
+    ];
     for (const host of this.#hosts.values()) {
-      host.noteRelay(suspectedRelays.has(host.via), now);
+      host.recordRelaySuspicion(suspectedRelays.has(host.relay), now);
       effects.push(...this.#reviewHost(host, now));
     }
     return [...effects, { type: 'wake', at: this.#nextReview(now) }];
   }
 
-  /** The suspicion of the watcher ends with its cause, or when it has lasted so long that the hosts must be taken as lost. */
-  #changeSuspicion(isSuspicious: boolean, now: Milliseconds): readonly HostHealthEffect[] {
-    this.#watcherSuspectedAt = isSuspicious ? (this.#watcherSuspectedAt ?? now) : undefined;
-    this.#doubtedAt = isSuspicious ? now : this.#doubtedAt;
-    const since = this.#watcherSuspectedAt;
-    const isSuspected = since !== undefined && now < since + this.#options.watcherGrace;
-    if (isSuspected === this.#isWatcherSuspected) {
+  /** Isolation is suspected until its cause ends, or until `isolationGrace` has passed: then the hosts must be taken as lost. */
+  #updateIsolationSuspicion(isSuspicious: boolean, now: Milliseconds): readonly HostHealthEffect[] {
+    this.#isolationSuspectedAt = isSuspicious ? (this.#isolationSuspectedAt ?? now) : undefined;
+    this.#lastUnreliableAt = isSuspicious ? now : this.#lastUnreliableAt;
+    const since = this.#isolationSuspectedAt;
+    const isSuspected = since !== undefined && now < since + this.#options.isolationGrace;
+    if (isSuspected === this.#isIsolationSuspected) {
       return [];
     }
-    this.#isWatcherSuspected = isSuspected;
+    this.#isIsolationSuspected = isSuspected;
     return [{ type: 'watcherSuspicionChanged', isSuspected }];
   }
 
-  #reviewHost(host: WatchedHost, now: Milliseconds): readonly HostHealthEffect[] {
+  #reviewHost(host: TrackedHost, now: Milliseconds): readonly HostHealthEffect[] {
     const standing = this.#availability(host, now).type;
-    if (standing === host.reviewedStanding) {
+    if (standing === host.reviewedStatus) {
       return [];
     }
-    host.reviewedStanding = standing;
+    host.reviewedStatus = standing;
     return [{ type: 'standingChanged', host: host.name, standing }];
   }
 
-  #availability(host: WatchedHost, now: Milliseconds): HostAvailability {
+  #availability(host: TrackedHost, now: Milliseconds): HostAvailability {
     if (host.hasLeft) {
       return { type: 'gone' };
     }
-    const away = host.awayFor(now);
+    const away = host.unavailableFor(now);
     if (away === undefined) {
-      const heldBack = host.heldBackFor(now);
-      return heldBack > 0 ? { type: 'quarantined', expectedReturn: heldBack } : { type: 'present' };
+      const remaining = host.quarantineRemaining(now);
+      return remaining > 0
+        ? { type: 'quarantined', expectedReturn: remaining }
+        : { type: 'present' };
     }
-    if (this.#isWatcherSuspected || host.isBehindSuspectedRelay(now)) {
+    if (this.#isIsolationSuspected || host.isBehindSuspectedRelay(now)) {
       return { type: 'suspected', expectedReturn: 0 };
     }
     if (away >= this.#options.goneAfter) {
@@ -182,18 +187,18 @@
   }
 
   #nextReview(now: Milliseconds): Milliseconds {
-    const { watcherGrace } = this.#options;
-    const suspicionEnd = this.#isWatcherSuspected
-      ? (this.#watcherSuspectedAt ?? now) + watcherGrace
+    const { isolationGrace } = this.#options;
+    const suspicionEnd = this.#isIsolationSuspected
+      ? (this.#isolationSuspectedAt ?? now) + isolationGrace
       : Infinity;
     const changes = [...this.#hosts.values()].map((host) => host.nextChange(now));
     return Math.min(suspicionEnd, ...changes);
   }
 
-  /** A new leader has heard nobody yet: hosts get one whole time of suspicion to be heard before they are suspected. */
-  #forgetSilences(now: Milliseconds): readonly HostHealthEffect[] {
+  /** A new leader has not received any report yet, so hosts get the full `suspectAfter` before they are suspected. */
+  #resetSilences(now: Milliseconds): readonly HostHealthEffect[] {
     for (const host of this.#hosts.values()) {
-      host.excuse(now);
+      host.resetSilence(now);
     }
     return this.#review(now);
   }
--- a/src/control/hosts/group-watch.ts
+++ b/src/control/hosts/incomplete-group-tracker.ts
@@ -1,19 +1,19 @@
 import type { Milliseconds } from '../../common/index.js';
 import type { FencingNumber, Group, GroupHealth, GroupName } from '../../model/index.js';
 
-interface Incomplete {
+interface IncompletePlacement {
   readonly fencingNumber: FencingNumber;
   readonly since: Milliseconds;
 }
 
 /**
- * Notices groups whose lead keeps missing members that control hears well: a cut between members, which
- * neither side of it can see from the reports of hosts.
+ * Tracks groups whose lead keeps missing members that report to control normally: a network partition between members,
+ * which the reports of the hosts alone do not show.
  */
 export class GroupWatch {
-  readonly #incomplete = new Map<GroupName, Incomplete>();
+  readonly #incomplete = new Map<GroupName, IncompletePlacement>();
 
-  /** Takes what a lead says of its group. */
+  /** Records the health that a lead reports for its group. */
   note(health: GroupHealth, now: Milliseconds): void {
     if (health.missing.length === 0) {
       this.#incomplete.delete(health.group);
@@ -25,13 +25,13 @@
     }
   }
 
-  /** How long the lead has been missing members of this placement; 0 while it misses none. */
+  /** How long the lead has been missing members of this placement; 0 if none is missing. */
   incompleteFor(group: Group, now: Milliseconds): Milliseconds {
     const incomplete = this.#incomplete.get(group.name);
     return incomplete?.fencingNumber === group.fencingNumber ? now - incomplete.since : 0;
   }
 
-  /** Forgets groups that are no more. */
+  /** Drops groups that no longer exist. */
   keepOnly(groups: ReadonlyMap<GroupName, unknown>): void {
     for (const name of this.#incomplete.keys()) {
       if (!groups.has(name)) {
--- a/src/control/hosts/index.ts
+++ b/src/control/hosts/index.ts
@@ -1,11 +1,11 @@
-export { GroupWatch } from './group-watch.js';
+export { GroupWatch } from './incomplete-group-tracker.js';
 export { HostHealth } from './host-health.js';
-export { ReturnEstimate } from './return-estimate.js';
+export { ReturnEstimate } from './return-estimator.js';
 export {
   defaultHostHealthOptions,
   type HostHealthEffect,
   type HostHealthEvent,
   type HostHealthOptions,
   type HostSign,
-  type HostStanding,
+  type HostStatus,
 } from './types.js';
--- a/src/control/hosts/return-estimate.ts
+++ b/src/control/hosts/return-estimator.ts
@@ -1,14 +1,12 @@
 import type { Milliseconds } from '../../common/index.js';
 
-/** When a silent host may be expected back. */
-
-/** Weight of a new observation in the measured duration of a restart. */
+/** Weight of a new observation in the moving average of the restart duration. */
 const learningRate = 0.05;
 
 /**
- * Expects the return of silent hosts.
- * A silence is a restart, which is over soon, or a failure, which takes hours; both durations are taken as
- * exponential. The longer the silence, the less likely a restart: the expectation grows from seconds to hours.
+ * Estimates when a silent host returns.
+ * A silence is either a restart, which is short, or an outage, which takes hours; both durations are modelled as
+ * exponentially distributed. The longer the silence, the less likely a restart: the estimate grows from seconds to hours.
  */
 export class ReturnEstimate {
   readonly #outageDuration: Milliseconds;
@@ -21,7 +19,7 @@
     this.#restartShare = restartShare;
   }
 
-  /** Expected time until a host returns that has been silent for so long. */
+  /** Expected time until the return of a host that has been silent for `silence`. */
   expectReturn(silence: Milliseconds): Milliseconds {
     const restart = this.#restartShare * Math.exp(-silence / this.#restartDuration);
     const outage = (1 - this.#restartShare) * Math.exp(-silence / this.#outageDuration);
@@ -29,8 +27,8 @@
     return weighted / (restart + outage);
   }
 
-  /** Learns from a host that returned; a return after an outage says nothing of restarts. */
-  noteReturn(silence: Milliseconds): void {
+  /** Updates the restart duration when a host returns. A return after an outage says nothing about restarts and is ignored. */
+  recordReturn(silence: Milliseconds): void {
     const ratio = silence / this.#restartDuration;
     if (ratio < 10) {
       this.#restartDuration += learningRate * (silence - this.#restartDuration);
--- a/src/control/hosts/types.ts
+++ b/src/control/hosts/types.ts
@@ -1,87 +1,87 @@
 import type { Milliseconds } from '../../common/index.js';
 import type { HostName, Incarnation, Policy } from '../../model/index.js';
 
-/** What host health needs of a sidecar's report. */
+/** The part of a sidecar's report that host health uses. */
 export interface HostSign {
   readonly host: HostName;
   readonly incarnation: Incarnation;
   readonly region: string;
   readonly failureDomain: string;
-  /** Whether the upstream is there and well. */
+  /** Whether the upstream runs and is healthy. */
   readonly isHealthy: boolean;
-  /** The host says good-bye: its drain is over and it holds no lease. */
+  /** The host is leaving: its drain is complete and it holds no lease. */
   readonly isLeaving: boolean;
 }
 
-/** What host health is told; `now` is a reading of this control host's monotonic clock. */
+/** Input of host health; `now` is a reading of this control host's monotonic clock. */
 export type HostHealthEvent =
   | {
       readonly type: 'reported';
       readonly now: Milliseconds;
       readonly sign: HostSign;
-      /** The control host that the report came in at. */
+      /** The control host that received the report. */
       readonly via: string;
     }
-  /** The connection of a host's reports closed: its process ended, or something between the two did. */
+  /** The reporting connection of a host closed: its process ended or the network broke. */
   | { readonly type: 'connectionClosed'; readonly now: Milliseconds; readonly host: HostName }
-  /** The lead of the host's group says that it holds no lease of it. */
+  /** The lead of the host's group reports that it holds no lease from the host. */
   | { readonly type: 'missed'; readonly now: Milliseconds; readonly host: HostName }
   | { readonly type: 'ticked'; readonly now: Milliseconds }
-  /** This control host took over or gave up the lead; what it knew of silences before says nothing. */
+  /** This control host gained or lost leadership, so silences observed before are meaningless. */
   | { readonly type: 'leadershipTaken'; readonly now: Milliseconds }
   | { readonly type: 'policyChanged'; readonly now: Milliseconds; readonly policy: Policy };
 
-/** Where a host stands, for logs and reports. */
-export type HostStanding = 'present' | 'suspected' | 'gone' | 'quarantined';
+/** Status of a host, for logs and reports. */
+export type HostStatus = 'present' | 'suspected' | 'gone' | 'quarantined';
 
-/** What host health wants done. */
+/** Effects that host health asks for. */
 export type HostHealthEffect =
   | {
-      /** Placement is to be looked at again. */
+      /** Placement has to be reviewed. */
       readonly type: 'standingChanged';
       readonly host: HostName;
-      readonly standing: HostStanding;
+      readonly standing: HostStatus;
     }
   | { readonly type: 'watcherSuspicionChanged'; readonly isSuspected: boolean }
-  /** Replaces the timer of the last `wake`. */
+  /** Replaces the timer that the last `wake` set. */
   | { readonly type: 'wake'; readonly at: Milliseconds };
 
-/** Times and shares that host health works with. */
+/** Timeouts and parameters of host health. */
 export interface HostHealthOptions {
-  /** A host heard from in this time is present. Sidecars send a heartbeat several times within it. */
+  /** A host that has not reported for this long is silent. Sidecars send several heartbeats within it. */
   readonly suspectAfter: Milliseconds;
-  /** A host whose connection closed reports through another control host within this time, if it is well. */
+  /** A healthy host whose connection closed reports through another control host within this time. */
   readonly reconnectGrace: Milliseconds;
-  /** A host silent for so long is not waited for any more. */
+  /** A host that is silent or unhealthy for this long counts as gone. */
   readonly goneAfter: Milliseconds;
-  /** How long a suspicion of this control host itself holds back the loss of many hosts. */
-  readonly watcherGrace: Milliseconds;
-  /** First guess of how long a restart takes; measured from then on. */
+  /** How long the loss of many hosts is ignored because this control host itself may be isolated. */
+  readonly isolationGrace: Milliseconds;
+  /** Initial estimate of the duration of a restart, updated by measurement. */
   readonly restartDuration: Milliseconds;
-  /** How long a host that failed is away. */
+  /** Mean time until a failed host returns. */
   readonly outageDuration: Milliseconds;
-  /** Share of silences that are restarts. */
+  /** Fraction of silences that are restarts. */
   readonly restartShare: number;
-  /** Hold-back of the second silence in quick succession; doubles with each. */
-  readonly firstHoldBack: Milliseconds;
-  readonly longestHoldBack: Milliseconds;
-  /** A strike counts half after this time. */
-  readonly strikeHalfLife: Milliseconds;
+  /** Quarantine after the second silence in quick succession; doubles with each further one. */
+  readonly firstQuarantine: Milliseconds;
+  readonly maximumQuarantine: Milliseconds;
+  /** Half-life of the penalty for flapping. */
+  readonly penaltyHalfLife: Milliseconds;
 }
 
 const second = 1000;
 const minute = 60 * second;
 
-/** Defaults: 340 restarts and 14 failures a day are the size this was designed for. */
+/** Defaults, designed for a deployment with 340 restarts and 14 failures a day. */
 export const defaultHostHealthOptions: HostHealthOptions = {
   suspectAfter: 3 * second,
   reconnectGrace: 1.5 * second,
   goneAfter: 15 * minute,
-  watcherGrace: 60 * second,
+  isolationGrace: 60 * second,
   restartDuration: 20 * second,
   outageDuration: 240 * minute,
   restartShare: 340 / 354,
-  firstHoldBack: 30 * second,
-  longestHoldBack: 60 * minute,
-  strikeHalfLife: 60 * minute,
+  firstQuarantine: 30 * second,
+  maximumQuarantine: 60 * minute,
+  penaltyHalfLife: 60 * minute,
 };
--- a/src/control/membership-policy.ts
+++ b/src/control/membership-policy.ts
@@ -1,23 +1,23 @@
 import type { Milliseconds } from '../common/index.js';
 import type { ConsensusStatus } from '../consensus/index.js';
 
-/** Decides when a control host asks to be taken into the log, and when the leader takes a silent one out; free of I/O. */
+/** Decides when a control host asks for admission as a member of the log, and when the leader removes a silent one. Does no I/O. */
 
 /**
- * A control host that hears no leader for this long asks the others to take it in. Longer than an election, so that a lost leader
- * does not make its followers ask.
+ * A control host that has had no leader for this long asks the others for admission. Longer than an election, so that
+ * followers do not ask when a leader fails.
  */
-const askAfter: Milliseconds = 1500;
-/** A member that is silent for this long is taken out, but only where enough others vote. */
-const removeAfter: Milliseconds = 2500;
+const admissionRequestDelay: Milliseconds = 1500;
+/** A member that is silent for this long is removed, but only if enough voters remain. */
+const removalDelay: Milliseconds = 2500;
 
 /**
- * Voters at most. Each change waits for more than half of them, and letter and settings allow no more hosts for control; one more
- * than that waits until another one is silent.
+ * Maximum number of voters. Each change waits for a majority of them, and neither the requirements nor the settings allow
+ * more control hosts. A further host is admitted only once another one is silent.
  */
-const mostVoters = 7;
+const maximumVoters = 7;
 
-/** What to do now. */
+/** The next action. */
 export type MembershipStep =
   | { readonly type: 'wait' }
   | { readonly type: 'ask' }
@@ -26,16 +26,17 @@
 const wait: MembershipStep = { type: 'wait' };
 
 /**
- * Keeps the number of voters while control hosts are replaced for good.
- * A replaced host never comes back, and without this its vote would be missing for ever: the next loss would leave no quorum. A
- * silent voter is taken out only when another one has been taken in, so a cut or a restart alone changes nothing.
+ * Keeps the number of voters constant while control hosts are replaced.
+ * A replaced host never returns. If it stayed a voter, its vote would be missing for good, and the next loss would leave
+ * no quorum. A silent voter is removed only after another one has been admitted, so a network partition or a restart alone
+ * changes nothing.
  */
 export class MembershipPolicy {
   readonly #voterCount: number;
   readonly #silentSince = new Map<string, Milliseconds>();
   #leaderlessSince: Milliseconds | undefined;
 
-  /** Number of voters that the deployment is to have. */
+  /** Creates a policy for a deployment that should have `voterCount` voters. */
   constructor(voterCount: number) {
     this.#voterCount = voterCount;
   }
@@ -44,14 +45,14 @@
     const { type } = status.view;
     this.#leaderlessSince = type === 'leaderless' ? (this.#leaderlessSince ?? now) : undefined;
     if (this.#leaderlessSince !== undefined) {
-      return now - this.#leaderlessSince >= askAfter ? { type: 'ask' } : wait;
+      return now - this.#leaderlessSince >= admissionRequestDelay ? { type: 'ask' } : wait;
     }
     return type === 'leader' ? this.#findSilent(status, now) : wait;
   }
 
-  /** Whether a control host that is no member may be taken in. */
+  /** Whether a control host that is not a member may be admitted. */
   mayAdmit({ membership, silentMembers }: ConsensusStatus): boolean {
-    return membership.voters.length < mostVoters || silentMembers.length > 0;
+    return membership.voters.length < maximumVoters || silentMembers.length > 0;
   }
 
   #findSilent({ membership, silentMembers }: ConsensusStatus, now: Milliseconds): MembershipStep {
@@ -67,7 +68,7 @@
     const name = silentMembers.find((each) => {
       const silence = now - (this.#silentSince.get(each) ?? now);
       const isLearner = !voters.includes(each);
-      return silence >= removeAfter && (isLearner || voters.length > this.#voterCount);
+      return silence >= removalDelay && (isLearner || voters.length > this.#voterCount);
     });
     return name === undefined ? wait : { type: 'remove', name };
   }
--- a/src/control/report-codec.ts
+++ b/src/control/report-codec.ts
@@ -12,7 +12,7 @@
 } from '../wire/index.js';
 import type { HostReport } from './host-directory.js';
 
-/** Between a sidecar's report and its message on the wire. */
+/** Converts between a sidecar's report and its wire message. */
 
 export function decodeReport(message: HostReportMessage): HostReport {
   const { host, incarnation, draining } = message;
--- a/src/control/standby-control.ts
+++ b/src/control/standby-control.ts
@@ -3,9 +3,10 @@
 import { createFailure, type Failure } from '../common/index.js';
 
 /**
- * What a control host without a disk answers to calls of operators and instances.
- * It keeps nothing, so it cannot vote: a vote that is forgotten at a restart could elect two leaders. A deployment that starts control on
- * a share of its hosts may start it on such a host; each call is refused at once, and its caller goes on to another control host.
+ * Answers calls of operators and instances on a control host without a disk.
+ * Such a host has no persistent storage, so it cannot vote: a vote that is forgotten at a restart could elect two leaders.
+ * A deployment that starts control on some of its hosts may start it on such a host. Each call is refused at once, so that
+ * the caller tries another control host.
  */
 export class StandbyControl {
   readonly leaderName = undefined;
--- a/src/control/state/answer-text.ts
+++ b/src/control/state/answer-text.ts
@@ -3,7 +3,7 @@
 import { groupSchema, failureSchema, acceptedChangeSchema } from './snapshot.js';
 import type { CommandAnswer } from './state.js';
 
-/** Answers to commands as JSON text, from control to operators and gateways. */
+/** Codec for command answers, which control sends to operators and gateways as JSON. */
 
 const answerSchema = z.discriminatedUnion('type', [
   z.strictObject({ type: z.literal('changed'), revision: z.int() }),
@@ -21,14 +21,14 @@
   }),
 ]);
 
-/** The answer as JSON text, for SubmitResponse. */
+/** Encodes an answer as JSON text for SubmitResponse. */
 export function encodeCommandAnswer(answer: CommandAnswer): string {
   return JSON.stringify(
     answer.type === 'refused' ? { ...answer, winner: answer.winner ?? null } : answer,
   );
 }
 
-/** The answer in a SubmitResponse; undefined for a text that is none. */
+/** Decodes the answer of a SubmitResponse; undefined if the text is not a valid answer. */
 export function decodeCommandAnswer(text: string): CommandAnswer | undefined {
   try {
     return answerSchema.parse(JSON.parse(text));
--- a/src/control/state/apply-change.ts
+++ b/src/control/state/apply-change.ts
@@ -5,7 +5,7 @@
 import { computeChangeFingerprint } from './fingerprint.js';
 import type {
   AcceptedChange,
-  Applied,
+  ApplyResult,
   ChangeAnswer,
   CommandAnswer,
   ControlState,
@@ -13,24 +13,25 @@
 } from './state.js';
 
 /**
- * Changes by operators: a resend gets the first answer, and of changes made from one revision exactly one wins.
+ * Applies changes by operators, with optimistic concurrency control: of the changes based on one revision, exactly one
+ * is accepted. A resent change gets its first answer.
  *
- * Answers are part of the state, so they outlive restarts, snapshots and leader changes. The newest 2,000 are kept.
- * Dropping older ones is safe: a change that was accepted was made from a revision that has passed since, so its
- * resend is refused as a conflict and never applied twice.
+ * Answers are part of the state, so they survive restarts, snapshots and leader changes. The newest 2,000 are kept.
+ * Dropping older ones is safe: the base revision of an accepted change is outdated, so its resend is refused as a
+ * conflict and never applied twice.
  */
 
-/** How many answers are kept for resends. */
-export const keptAnswers = 2000;
-/** How many accepted changes are kept to show the winner of a conflict. */
-export const keptHistory = 500;
+/** Number of answers kept for resent changes. */
+export const maximumAnswers = 2000;
+/** Number of accepted changes kept, to show the winner of a conflict. */
+export const maximumHistory = 500;
 
-const shownDifferences = 20;
+const maximumDifferences = 20;
 
-const noOverride: HostOverride = { labels: {}, isDraining: false };
+const emptyOverride: HostOverride = { labels: {}, isDraining: false };
 
-/** Accepts or refuses a change, once for each change id. */
-export function applyChange(state: ControlState, change: Change): Applied {
+/** Accepts or refuses a change; idempotent by change id. */
+export function applyChange(state: ControlState, change: Change): ApplyResult {
   const fingerprint = computeChangeFingerprint(change);
   const first = state.answers.get(change.changeId);
   if (first !== undefined) {
@@ -55,10 +56,10 @@
   return { type: 'refused', failure, winner, differences };
 }
 
-function refuseConflict(state: ControlState, change: Change, fingerprint: string): Applied {
+function refuseConflict(state: ControlState, change: Change, fingerprint: string): ApplyResult {
   const failure = describeConflict(state, change);
   const winner = findWinner(state, change);
-  const differences = describeChange(state, change).slice(0, shownDifferences);
+  const differences = describeChange(state, change).slice(0, maximumDifferences);
   const answer = createAnswer(change, fingerprint, { state, failure, winner, differences });
   return {
     state: { ...state, answers: keepAnswer(state, answer) },
@@ -71,12 +72,12 @@
   return createFailure('revisionConflict', detail);
 }
 
-/** The change that was accepted from the same revision, or the oldest one still known after it. */
+/** The change accepted from the same base revision, or the oldest later one still in the history. */
 function findWinner(state: ControlState, change: Change): AcceptedChange | undefined {
   return state.history.find((accepted) => accepted.revision > change.baseRevision);
 }
 
-function accept(state: ControlState, change: Change, fingerprint: string): Applied {
+function accept(state: ControlState, change: Change, fingerprint: string): ApplyResult {
   const revision = state.revision + 1;
   const accepted: AcceptedChange = {
     revision,
@@ -86,9 +87,9 @@
     summary: summarizeDifferences(describeChange(state, change)),
   };
   const changed: ControlState = {
-    ...carryOut(state, change),
+    ...applyToState(state, change),
     revision,
-    history: [...state.history, accepted].slice(-keptHistory),
+    history: [...state.history, accepted].slice(-maximumHistory),
   };
   const answer = createAnswer(change, fingerprint, {
     state: changed,
@@ -102,29 +103,29 @@
   };
 }
 
-function carryOut(state: ControlState, change: Change): ControlState {
+function applyToState(state: ControlState, change: Change): ControlState {
   switch (change.type) {
     case 'applyConfiguration':
       return { ...state, configuration: change.document };
     case 'setHostLabels': {
-      const present = state.overrides.get(change.host) ?? noOverride;
+      const present = state.overrides.get(change.host) ?? emptyOverride;
       const labels = { ...present.labels, ...change.labels };
-      return withOverride(state, change.host, { ...present, labels });
+      return setOverride(state, change.host, { ...present, labels });
     }
     case 'setHostDrain': {
-      const present = state.overrides.get(change.host) ?? noOverride;
-      return withOverride(state, change.host, { ...present, isDraining: change.isDraining });
+      const present = state.overrides.get(change.host) ?? emptyOverride;
+      return setOverride(state, change.host, { ...present, isDraining: change.isDraining });
     }
     default:
       return assertNever(change);
   }
 }
 
-function withOverride(state: ControlState, host: HostName, override: HostOverride): ControlState {
+function setOverride(state: ControlState, host: HostName, override: HostOverride): ControlState {
   return { ...state, overrides: new Map(state.overrides).set(host, override) };
 }
 
-/** What the change would make differ from the present state, one line each. */
+/** How the change would alter the current state, one line for each difference. */
 function describeChange(state: ControlState, change: Change): readonly string[] {
   switch (change.type) {
     case 'applyConfiguration':
@@ -162,14 +163,14 @@
   return isOn ? 'on' : 'off';
 }
 
-interface Decision {
+interface ChangeOutcome {
   readonly state: ControlState;
   readonly failure: Failure | undefined;
   readonly winner: AcceptedChange | undefined;
   readonly differences: readonly string[];
 }
 
-function createAnswer(change: Change, fingerprint: string, decision: Decision): ChangeAnswer {
+function createAnswer(change: Change, fingerprint: string, decision: ChangeOutcome): ChangeAnswer {
   return {
     changeId: change.changeId,
     fingerprint,
@@ -181,10 +182,10 @@
   };
 }
 
-/** Adds the answer as the newest; a map keeps the order of insertion, so the first entries are the oldest. */
+/** Adds the answer and drops the oldest ones; a map iterates in insertion order, so the first entries are the oldest. */
 function keepAnswer(state: ControlState, answer: ChangeAnswer): ControlState['answers'] {
   const answers = new Map(state.answers).set(answer.changeId, answer);
-  const surplus = answers.size - keptAnswers;
+  const surplus = answers.size - maximumAnswers;
   [...answers.keys()]
     .slice(0, Math.max(0, surplus))
     .forEach((changeId) => answers.delete(changeId));
--- a/src/control/state/apply-claim.ts
+++ b/src/control/state/apply-claim.ts
@@ -1,20 +1,20 @@
 import { createFailure, type ResultCodeName } from '../../common/index.js';
 import type { Command } from './commands.js';
-import type { Applied, Claim, ControlState } from './state.js';
+import type { ApplyResult, Claim, ControlState } from './state.js';
 
 /**
- * Claims of idempotency keys: of all requests with one key, one at most runs.
- * A claim counts for 24 hours from its `at`; expiry looks at the `at` of commands only, never at a clock.
+ * Applies claims of idempotency keys: of all requests with one key, at most one runs.
+ * A claim is valid for 24 hours from its `at`. Expiry depends on the `at` of commands only, never on a clock.
  */
 
 type ClaimKey = Extract<Command, { readonly type: 'claimKey' }>;
 type SettleClaim = Extract<Command, { readonly type: 'settleClaim' }>;
 
-/** Fingerprint of a claim that is known by its ending only. */
+/** Fingerprint of a claim of which only the outcome is known. */
 const unknownFingerprint = '';
 
-/** Gives the key to the request, or says what became of the request that has it. */
-export function applyClaimKey(state: ControlState, command: ClaimKey): Applied {
+/** Grants the key to the request, or reports the state of the request that holds it. */
+export function applyClaimKey(state: ControlState, command: ClaimKey): ApplyResult {
   const first = state.claims.find(command.account, command.key, command.at);
   if (first === undefined) {
     return grant(state, command);
@@ -22,18 +22,18 @@
   if (first.state === 'notRun' && first.requestId !== command.requestId) {
     return grant(state, command);
   }
-  if (isOtherRequest(first, command)) {
+  if (hasDifferentContent(first, command)) {
     return refuse(state, 'idempotencyConflict', first);
   }
-  // The same request asks again when it lost the answer to its claim: it still has the key.
+  // The request repeats its claim because the answer was lost; it still holds the key.
   if (first.state === 'running' && first.requestId === command.requestId) {
     return { state, answer: { type: 'claimed' } };
   }
-  return refuse(state, findRepeatCode(first), first);
+  return refuse(state, findDuplicateCode(first), first);
 }
 
-/** Records how the request that has the key ended; anything else than the first ending of that request is ignored. */
-export function applySettleClaim(state: ControlState, command: SettleClaim): Applied {
+/** Records the outcome of the request that holds the key. Outcomes after its first final one, and those of other requests, are ignored. */
+export function applySettleClaim(state: ControlState, command: SettleClaim): ApplyResult {
   const first = state.claims.find(command.account, command.key, command.at);
   if (first === undefined) {
     return settle(state, createSettledClaim(command));
@@ -44,7 +44,7 @@
   return settle(state, { ...first, state: command.outcome });
 }
 
-function grant(state: ControlState, command: ClaimKey): Applied {
+function grant(state: ControlState, command: ClaimKey): ApplyResult {
   const claim: Claim = {
     account: command.account,
     key: command.key,
@@ -56,14 +56,14 @@
   return { state: { ...state, claims: state.claims.with(claim) }, answer: { type: 'claimed' } };
 }
 
-function settle(state: ControlState, claim: Claim): Applied {
+function settle(state: ControlState, claim: Claim): ApplyResult {
   return { state: { ...state, claims: state.claims.with(claim) }, answer: { type: 'settled' } };
 }
 
 /**
- * An ending that overtook its claim: the gateway gave the claim up as uncertain, and the claim is still under way.
- * Without this record the late claim would hold the key for a request that nobody runs, and the caller, who was told
- * "not run", would be refused for a day.
+ * Creates the claim for an outcome that arrives before its claim: the gateway gave up waiting for the claim, which may
+ * still commit. Without this record the late claim would hold the key for a request that never runs, and the caller, who
+ * was told "not run", would be refused for a day.
  */
 function createSettledClaim(command: SettleClaim): Claim {
   return {
@@ -76,8 +76,8 @@
   };
 }
 
-/** Whether the key was used before for a request with other content. */
-function isOtherRequest(first: Claim, command: ClaimKey): boolean {
+/** Whether the key was used before for a request with different content. */
+function hasDifferentContent(first: Claim, command: ClaimKey): boolean {
   const isKnown = first.state !== 'notRun' && first.fingerprint !== unknownFingerprint;
   return isKnown && first.fingerprint !== command.fingerprint;
 }
@@ -86,7 +86,7 @@
   return claim.state === 'running' || claim.state === 'unknown';
 }
 
-function findRepeatCode(first: Claim): ResultCodeName {
+function findDuplicateCode(first: Claim): ResultCodeName {
   switch (first.state) {
     case 'running':
     case 'unknown':
@@ -98,7 +98,7 @@
   }
 }
 
-function refuse(state: ControlState, code: ResultCodeName, first: Claim): Applied {
+function refuse(state: ControlState, code: ResultCodeName, first: Claim): ApplyResult {
   const detail = `The key was claimed by request ${first.requestId}; state: ${first.state}.`;
   const failure = createFailure(code, detail);
   return { state, answer: { type: 'refused', failure, winner: undefined, differences: [] } };
--- a/src/control/state/apply-crashes.ts
+++ b/src/control/state/apply-crashes.ts
@@ -1,7 +1,7 @@
 import type { WallTime } from '../../common/index.js';
 import { quarantineThreshold, type CrashSuspect } from '../../routing/index.js';
 import type { Command } from './commands.js';
-import type { Applied, ControlState } from './state.js';
+import type { ApplyResult, ControlState } from './state.js';
 
 /** Applies crash reports to the replicated state. */
 
@@ -14,7 +14,7 @@
 const maximumSuspects = 1000;
 
 /** Counts each crash against the requests that were in flight, then removes the suspects that were answered completely. */
-export function applyNoteCrashes(state: ControlState, command: NoteCrashes): Applied {
+export function applyNoteCrashes(state: ControlState, command: NoteCrashes): ApplyResult {
   const { at, crashes, answered } = command;
   const suspects = new Map<string, CrashSuspect>();
   for (const suspect of state.routing.suspects.values()) {
--- a/src/control/state/apply-engine-groups.ts
+++ b/src/control/state/apply-engine-groups.ts
@@ -1,17 +1,17 @@
 import { createFailure, type ResultCodeName } from '../../common/index.js';
 import type { EngineGroup } from '../../routing/index.js';
 import type { Command } from './commands.js';
-import type { Applied, ControlState } from './state.js';
+import type { ApplyResult, ControlState } from './state.js';
 
-/** Groups of engines: whole command or nothing, fencing numbers that only grow, no engine in two groups. */
+/** Applies plans of engine groups: commands are atomic, fencing numbers only increase, and no engine is in two groups. */
 
 type PlanEngineGroups = Extract<Command, { readonly type: 'planEngineGroups' }>;
 
-/** Places, advances and removes groups; refuses the whole command when any part of it may not stand. */
-export function applyPlanEngineGroups(state: ControlState, command: PlanEngineGroups): Applied {
+/** Places, advances and removes groups; refuses the whole command if any part of it is invalid. */
+export function applyPlanEngineGroups(state: ControlState, command: PlanEngineGroups): ApplyResult {
   const { engineGroups, engineGroupsIndex } = state.routing;
   if (command.basedOn < engineGroupsIndex) {
-    const detail = `Decided at index ${command.basedOn}; groups changed at ${engineGroupsIndex}.`;
+    const detail = `Decision based on index ${command.basedOn}; groups changed at index ${engineGroupsIndex}.`;
     return refuse(state, 'stalePlacement', detail);
   }
   const groups = new Map(engineGroups);
@@ -29,13 +29,13 @@
   }
   const shared = findSharedEngine(groups);
   if (shared !== undefined) {
-    return refuse(state, 'hostInTwoGroups', `${shared} would be in two groups of engines.`);
+    return refuse(state, 'hostInTwoGroups', `${shared} would be in two engine groups.`);
   }
   const routing = { ...state.routing, engineGroups: groups, engineGroupsIndex: state.index };
   return { state: { ...state, fencingNumber, routing }, answer: { type: 'planned' } };
 }
 
-/** Host of an engine that stands in two groups. */
+/** Host of an engine that is a member of two groups. */
 function findSharedEngine(groups: ReadonlyMap<string, EngineGroup>): string | undefined {
   const hosts = [...groups.values()].flatMap(({ members }) => members.map(({ host }) => host));
   const seen = new Set<string>();
@@ -46,7 +46,7 @@
   });
 }
 
-function refuse(state: ControlState, code: ResultCodeName, detail: string): Applied {
+function refuse(state: ControlState, code: ResultCodeName, detail: string): ApplyResult {
   const failure = createFailure(code, detail);
   return { state, answer: { type: 'refused', failure, winner: undefined, differences: [] } };
 }
--- a/src/control/state/apply-instances.ts
+++ b/src/control/state/apply-instances.ts
@@ -9,21 +9,21 @@
 } from '../../routing/index.js';
 import type { Command } from './commands.js';
 import type { RoutingState } from './routing-state.js';
-import type { Applied, ControlState } from './state.js';
+import type { ApplyResult, ControlState } from './state.js';
 
-/** Instances in the replicated state: who is there, and who is gone. */
+/** Applies registrations and departures of instances to the replicated state. */
 
 type RecordInstances = Extract<Command, { readonly type: 'recordInstances' }>;
 
 /**
- * Departed instances that are remembered. An announcement is late by seconds, and a large deployment replaces some
- * hundreds of instances a day, so this covers more than a day.
+ * Number of departed instances kept. Announcements are late by seconds, and a large deployment replaces a few hundred
+ * instances a day, so this covers more than a day.
  */
-const rememberedDepartures = 1000;
+const maximumDepartures = 1000;
 
-/** Takes instances in and out. */
-export function applyRecordInstances(state: ControlState, command: RecordInstances): Applied {
-  const record = new InstanceRecord(state.routing);
+/** Adds and removes instances. */
+export function applyRecordInstances(state: ControlState, command: RecordInstances): ApplyResult {
+  const record = new InstanceSet(state.routing);
   command.retired.forEach((identity) => {
     record.remove(identity, 'left');
   });
@@ -33,14 +33,14 @@
   const proved = command.proved ?? [];
   for (const instance of command.present) {
     const isProved = proved.some((identity) => isSameStart(identity, instance));
-    record.take(instance, isProved);
+    record.add(instance, isProved);
   }
   const routing: RoutingState = { ...state.routing, ...record.read() };
   return { state: { ...state, routing }, answer: { type: 'recorded' } };
 }
 
-/** The instances of a state while one command changes them. */
-class InstanceRecord {
+/** Mutable copy of the instances of a state while one command is applied. */
+class InstanceSet {
   readonly #instances: Map<string, Instance>;
   #departed: readonly DepartedInstance[];
 
@@ -50,20 +50,20 @@
   }
 
   read(): Pick<RoutingState, 'instances' | 'departed'> {
-    return { instances: this.#instances, departed: this.#departed.slice(-rememberedDepartures) };
+    return { instances: this.#instances, departed: this.#departed.slice(-maximumDepartures) };
   }
 
-  /** Another start under the same id stays as it is. */
+  /** Removes exactly this instance; another start under the same id stays. */
   remove(identity: InstanceIdentity, reason: DepartureReason): void {
     const present = this.#instances.get(identity.id);
     const isPresent = present !== undefined && isSameInstance(present, identity);
     if (isPresent) {
       this.#instances.delete(identity.id);
     }
-    this.#noteDeparture(isPresent ? present : identity, reason);
+    this.#recordDeparture(isPresent ? present : identity, reason);
   }
 
-  take(instance: Instance, isProved: boolean): void {
+  add(instance: Instance, isProved: boolean): void {
     const departure = this.#departed.find((each) => isSameStart(each, instance));
     const isGone = departure?.reason === 'left' || (departure?.reason === 'replaced' && !isProved);
     if (isGone) {
@@ -78,8 +78,8 @@
     this.#instances.set(instance.id, instance);
   }
 
-  /** What left for good stays so, whatever is heard of it later. */
-  #noteDeparture(identity: InstanceIdentity, reason: DepartureReason): void {
+  /** Records a departure; the reason `left` is final. */
+  #recordDeparture(identity: InstanceIdentity, reason: DepartureReason): void {
     const known = this.#departed.find((each) => isSameStart(each, identity));
     if (known?.reason === 'left') {
       return;
@@ -89,7 +89,7 @@
   }
 }
 
-/** Two instances never share an address, and two starts never run under one id. */
+/** At most one instance has an address, and at most one start runs under an id, so the newer one replaces the older. */
 function isReplacedBy(known: Instance, taken: Instance): boolean {
   return known.id === taken.id ? !isSameStart(known, taken) : known.address === taken.address;
 }
--- a/src/control/state/apply-placement.ts
+++ b/src/control/state/apply-placement.ts
@@ -2,17 +2,17 @@
 import type { Group, GroupName, HostName } from '../../model/index.js';
 import type { Command, GroupPlacement } from './commands.js';
 import { stringifyCanonically } from './fingerprint.js';
-import type { Applied, ControlState } from './state.js';
+import type { ApplyResult, ControlState } from './state.js';
 
-/** Placement of groups: whole command or nothing, fencing numbers that only grow, no host in two groups. */
+/** Applies placements of groups: commands are atomic, fencing numbers only increase, and no host is in two groups. */
 
 type PlaceGroups = Extract<Command, { readonly type: 'placeGroups' }>;
 
-/** Places and dissolves groups; refuses the whole command when any part of it may not stand. */
-export function applyPlaceGroups(state: ControlState, command: PlaceGroups): Applied {
-  // Two leaders, the old one not yet aware of the new, may decide from different states; the later decision is void.
+/** Places and dissolves groups; refuses the whole command if any part of it is invalid. */
+export function applyPlaceGroups(state: ControlState, command: PlaceGroups): ApplyResult {
+  // An old leader that does not know the new one yet may decide from an outdated state; its decision is refused.
   if (command.basedOn < state.groupsIndex) {
-    const detail = `Decided at index ${command.basedOn}; groups changed at ${state.groupsIndex}.`;
+    const detail = `Decision based on index ${command.basedOn}; groups changed at index ${state.groupsIndex}.`;
     return refuse(state, 'stalePlacement', detail);
   }
   const groups = new Map(state.groups);
@@ -36,7 +36,7 @@
   return { state: next, answer: { type: 'placed', groups: placed } };
 }
 
-/** Whether nothing but `isDraining` differs, so that leases and attempts under the present number stay good. */
+/** Whether at most `isDraining` differs, so that leases and attempts under the current fencing number stay valid. */
 function isSamePlacement(group: Group, placement: GroupPlacement): boolean {
   return (
     group.declaration === placement.declaration &&
@@ -64,7 +64,7 @@
   return undefined;
 }
 
-function refuse(state: ControlState, code: ResultCodeName, detail: string): Applied {
+function refuse(state: ControlState, code: ResultCodeName, detail: string): ApplyResult {
   const failure = createFailure(code, detail);
   return { state, answer: { type: 'refused', failure, winner: undefined, differences: [] } };
 }
--- a/src/control/state/apply-routing.ts
+++ b/src/control/state/apply-routing.ts
@@ -1,12 +1,12 @@
 import type { Command } from './commands.js';
-import type { Applied, ControlState } from './state.js';
+import type { ApplyResult, ControlState } from './state.js';
 
-/** Routing documents. */
+/** Applies routing documents. */
 
 type PutRouting = Extract<Command, { readonly type: 'putRouting' }>;
 
-/** Puts the document in force when its version is higher; an older one is answered alike and changes nothing. */
-export function applyPutRouting(state: ControlState, { document }: PutRouting): Applied {
+/** Replaces the routing document if the version is higher; otherwise the state stays unchanged and the answer has the current version. */
+export function applyPutRouting(state: ControlState, { document }: PutRouting): ApplyResult {
   const present = state.routing.document;
   if (present !== undefined && document.version <= present.version) {
     return { state, answer: { type: 'routed', version: present.version } };
--- a/src/control/state/apply.ts
+++ b/src/control/state/apply.ts
@@ -7,19 +7,19 @@
 import { applyRecordInstances } from './apply-instances.js';
 import { applyPutRouting } from './apply-routing.js';
 import type { Command } from './commands.js';
-import type { Applied, ControlState } from './state.js';
+import type { ApplyResult, ControlState } from './state.js';
 
 /**
- * Applies one committed command. Pure: the same commands give the same state on every control host, so it reads
- * no clock and no random number; time comes from the command's `at`.
+ * Applies one committed command. Deterministic, so that every control host derives the same state: it uses no clock and
+ * no random numbers; time comes from the command's `at`.
  */
-export function applyCommand(state: ControlState, command: Command): Applied {
+export function applyCommand(state: ControlState, command: Command): ApplyResult {
   const index = state.index + 1;
   const claims = state.claims.sweep(index, command.at);
   return applyByType({ ...state, index, claims }, command);
 }
 
-function applyByType(state: ControlState, command: Command): Applied {
+function applyByType(state: ControlState, command: Command): ApplyResult {
   switch (command.type) {
     case 'applyConfiguration':
     case 'setHostLabels':
--- a/src/control/state/claim-register.ts
+++ b/src/control/state/claim-register.ts
@@ -1,7 +1,7 @@
 import type { WallTime } from '../../common/index.js';
 import type { Claim } from './state.js';
 
-/** How long a claim is kept, counted from its own `at`; a repeat after that runs again. */
+/** How long a claim is kept, counted from its own `at`; a repeated request runs again after that. */
 export const claimLifetimeMilliseconds = 24 * 60 * 60 * 1000;
 
 const shardCount = 4096;
@@ -11,9 +11,9 @@
 const emptyShard: Shard = new Map();
 
 /**
- * The claims of idempotency keys; immutable, each change makes a new register.
- * Claims are spread over shards, so that a change copies a small part of them: with one map, a day's claims
- * (some hundred thousand) would be copied for each new one and control would fall behind.
+ * Claims of idempotency keys; immutable, each change returns a new register.
+ * Claims are sharded, so that a change copies only a small part of them. With a single map, a day's claims (a few
+ * hundred thousand) would be copied for each new one, and control could not keep up.
  */
 export class ClaimRegister {
   readonly #shards: readonly Shard[];
@@ -40,7 +40,7 @@
     return claim === undefined || isExpired(claim, at) ? undefined : claim;
   }
 
-  /** Adds a claim, or replaces the one of its key; a shard stays in the order of `at`, so the oldest comes first. */
+  /** Adds a claim, or replaces the one of its key. A shard stays ordered by `at`, oldest first. */
   with(claim: Claim): ClaimRegister {
     const name = formatClaimName(claim.account, claim.key);
     const index = findShardIndex(name);
@@ -52,11 +52,11 @@
   }
 
   /**
-   * Drops the expired claims of one shard; `turn` is the log index, so the commands sweep all shards in turn.
-   * The turn and `at` come from the command: every control host drops the same claims at the same index.
+   * Drops the expired claims of one shard, which `logIndex` selects, so that successive commands sweep all shards.
+   * The index and `at` come from the log, so every control host drops the same claims at the same index.
    */
-  sweep(turn: number, at: WallTime): ClaimRegister {
-    const index = turn % shardCount;
+  sweep(logIndex: number, at: WallTime): ClaimRegister {
+    const index = logIndex % shardCount;
     const shard = this.#shards[index] ?? emptyShard;
     const oldest = shard.values().next().value;
     if (oldest === undefined || !isExpired(oldest, at)) {
@@ -66,7 +66,7 @@
     return this.#withShard(index, new Map(kept));
   }
 
-  /** All claims held, expired ones that were not yet swept included. */
+  /** All claims, including expired ones that have not been swept yet. */
   list(): readonly Claim[] {
     return this.#shards.flatMap((shard) => [...shard.values()]);
   }
@@ -84,7 +84,7 @@
   return JSON.stringify([account, key]);
 }
 
-/** FNV-1a over the UTF-16 units; only spreads claims, and must give the same shard on every control host. */
+/** Selects a shard by FNV-1a over the UTF-16 code units; must give the same shard on every control host. */
 function findShardIndex(name: string): number {
   let hash = 0x811c9dc5;
   for (let position = 0; position < name.length; position += 1) {
--- a/src/control/state/commands.ts
+++ b/src/control/state/commands.ts
@@ -11,8 +11,8 @@
 
 /**
  * Commands of the replicated log.
- * Every control host applies the same commands in the same order, so a command carries all that its effect depends on,
- * the wall time (`at`, milliseconds, stamped by the leader) and fencing numbers included.
+ * Every control host applies the same commands in the same order. The effect of a command depends only on the replicated
+ * state and on the command itself, including its wall time `at` (milliseconds, set by the leader).
  */
 
 const artifact = z
@@ -32,7 +32,7 @@
   z.strictObject({ type: z.literal('service'), service: z.string() }).readonly(),
 ]);
 
-/** A group as placement wants it; the fencing number is given when the command is applied. */
+/** A group to place; its fencing number is assigned when the command is applied. */
 export const groupPlacement = z
   .strictObject({
     name: z.string(),
@@ -43,10 +43,10 @@
   })
   .readonly();
 
-/** What every change by an operator carries. */
+/** Fields of every change by an operator. */
 const change = {
   changeId: z.string().min(1).max(200),
-  /** Revision the change was made from; a change made from any other than the present one is a conflict. */
+  /** Revision that the change is based on; if it is not the current one, the change is refused as a conflict. */
   baseRevision: z.int().min(0),
   operator: z.string().max(200),
   at: z.number(),
@@ -61,7 +61,7 @@
     type: z.literal('setHostLabels'),
     ...change,
     host: z.string(),
-    /** A null takes the label away, also one from the host's own settings. */
+    /** A null removes the label, even one from the host's own settings. */
     labels: z.record(z.string(), z.string().nullable()).readonly(),
   })
   .readonly();
@@ -79,11 +79,11 @@
   .strictObject({
     type: z.literal('placeGroups'),
     at: z.number(),
-    /** Groups to create or to replace; each gets a new fencing number unless only `isDraining` changes. */
+    /** Groups to create or replace; each gets a new fencing number unless only `isDraining` changes. */
     place: z.array(groupPlacement).readonly(),
     /** Names of groups to dissolve. */
     dissolve: z.array(z.string()).readonly(),
-    /** Log index of the state that the decision was made from; an older decision is ignored. */
+    /** Log index of the state that the decision is based on; refused if the groups have changed since. */
     basedOn: z.int().min(0),
   })
   .readonly();
@@ -94,7 +94,7 @@
     at: z.number(),
     account: z.string(),
     key: z.string().min(1).max(512),
-    /** Digest of method, path and body: the same key with another one is a conflict. */
+    /** Digest of method, path and body; the same key with a different digest is a conflict. */
     fingerprint: z.string(),
     requestId: z.string(),
   })
@@ -112,7 +112,7 @@
   })
   .readonly();
 
-/** The operator chooses the version; one that is not higher than the present one changes nothing. */
+/** The operator chooses the version; a version that is not higher than the current one has no effect. */
 const putRouting = z
   .strictObject({ type: z.literal('putRouting'), at: z.number(), document: routingDocumentSchema })
   .readonly();
@@ -121,25 +121,25 @@
   .strictObject({
     type: z.literal('recordInstances'),
     at: z.number(),
-    /** New instances, and known ones of which something changed. */
+    /** New and changed instances. */
     present: z.array(instanceSchema).readonly(),
-    /** Instances that left for good: a late announcement does not bring them back. */
+    /** Instances that left for good; a late announcement does not add them again. */
     retired: z.array(storedIdentitySchema).readonly(),
-    /** Instances that fell silent: they are taken back when they speak again. */
+    /** Instances that stopped reporting; they are added again when they announce themselves. */
     silent: z.array(storedIdentitySchema).readonly(),
-    /** Those of the present ones that had been replaced and have proved since that it is they who run. */
+    /** Those of `present` that had been replaced and have since proved that they are the ones running. */
     proved: z.array(storedIdentitySchema).readonly().exactOptional(),
   })
   .readonly();
 
-/** A group of engines to place; the fencing number is given when the command is applied. */
+/** An engine group to place; its fencing number is assigned when the command is applied. */
 const engineGroupPlacement = engineGroupSchema.unwrap().omit({ fencingNumber: true, phase: true });
 
 const planEngineGroups = z
   .strictObject({
     type: z.literal('planEngineGroups'),
     at: z.number(),
-    /** Log index of the last change of these groups that the decision knew; an older decision is ignored. */
+    /** Log index of the last change of engine groups that the decision is based on; refused if they have changed since. */
     basedOn: z.int().min(0),
     place: z.array(engineGroupPlacement.readonly()).readonly(),
     advance: z
@@ -165,7 +165,7 @@
           .readonly(),
       )
       .readonly(),
-    /** Digests of requests that an upstream has answered completely. */
+    /** Digests of requests that an upstream answered completely. */
     answered: z.array(z.string().min(1)).readonly(),
   })
   .readonly();
--- a/src/control/state/fingerprint.ts
+++ b/src/control/state/fingerprint.ts
@@ -3,16 +3,16 @@
 import type { Change } from './commands.js';
 
 /**
- * Digest of a change, the same for every resend of it.
- * `at` is left out: the leader stamps it anew for each resend. The base revision counts: the same edit made from
- * another revision is another change.
+ * Computes a digest that is the same for every resend of a change.
+ * It excludes `at`, which the leader sets anew for each resend. It includes the base revision: the same edit based on
+ * another revision is a different change.
  */
 export function computeChangeFingerprint(change: Change): string {
   const withoutTime = { ...change, at: 0 };
   return createHash('sha256').update(stringifyCanonically(withoutTime)).digest('hex');
 }
 
-/** JSON with sorted keys, so that equal values give equal texts. */
+/** Serializes as JSON with sorted keys, so that equal values give equal texts. */
 export function stringifyCanonically(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) => sortKeys(inner));
 }
--- a/src/control/state/host-override.ts
+++ b/src/control/state/host-override.ts
@@ -1,7 +1,7 @@
 import type { HostFacts, Labels } from '../../model/index.js';
 import type { HostOverride } from './state.js';
 
-/** The facts a host announced, with what operators set on it in place of its own. */
+/** The facts that a host announced, with the operators' overrides applied. */
 export function applyHostOverride(facts: HostFacts, override: HostOverride | undefined): HostFacts {
   if (override === undefined) {
     return facts;
--- a/src/control/state/index.ts
+++ b/src/control/state/index.ts
@@ -1,7 +1,7 @@
 export { decodeCommandAnswer, encodeCommandAnswer } from './answer-text.js';
 export { applyCommand } from './apply.js';
 export { crashLifetimeMilliseconds, hasExpiredCrash } from './apply-crashes.js';
-export { keptAnswers, keptHistory } from './apply-change.js';
+export { maximumAnswers, maximumHistory } from './apply-change.js';
 export { ClaimRegister, claimLifetimeMilliseconds } from './claim-register.js';
 export { commandSchema, type Change, type Command, type GroupPlacement } from './commands.js';
 export { applyHostOverride } from './host-override.js';
@@ -10,7 +10,7 @@
 export {
   initialControlState,
   type AcceptedChange,
-  type Applied,
+  type ApplyResult,
   type ChangeAnswer,
   type Claim,
   type CommandAnswer,
--- a/src/control/state/parse-command.ts
+++ b/src/control/state/parse-command.ts
@@ -5,7 +5,7 @@
 import { formatPath } from '../../settings/index.js';
 import { commandSchema, type Command } from './commands.js';
 
-/** Reads a command of the log. */
+/** Parses a command from the log. */
 export function parseCommand(text: string): Result<Command, Failure> {
   let value: unknown;
   try {
@@ -22,9 +22,9 @@
 }
 
 /**
- * Reads a command from a submitter and makes the checks that go before the log.
- * These are not made again when the command is applied: a control host of a newer version with one check more would
- * refuse a committed change that the others have accepted, and the hosts would never agree again.
+ * Parses a submitted command and validates it before it is appended to the log.
+ * The validation is not repeated when the command is applied: a control host of a newer version with an additional check
+ * would refuse a committed change that the others have accepted, and their states would diverge for good.
  */
 export function checkSubmittedCommand(text: string): Result<Command, Failure> {
   return parseCommand(text).andThen(checkDocument);
--- a/src/control/state/routing-state.ts
+++ b/src/control/state/routing-state.ts
@@ -13,17 +13,17 @@
   type RoutingDocument,
 } from '../../routing/index.js';
 
-/** The part of the replicated state that says where requests go. */
+/** The part of the replicated state that routing uses. */
 export interface RoutingState {
-  /** Undefined before the first document. */
+  /** Undefined until the first document is applied. */
   readonly document: RoutingDocument | undefined;
   readonly instances: ReadonlyMap<string, Instance>;
-  /** Instances that are gone, the newest last. */
+  /** Departed instances, newest last. */
   readonly departed: readonly DepartedInstance[];
   readonly engineGroups: ReadonlyMap<string, EngineGroup>;
-  /** Log index of the last command that changed groups of engines. */
+  /** Log index of the last command that changed engine groups. */
   readonly engineGroupsIndex: number;
-  /** Requests that were in flight when upstreams crashed, by digest. */
+  /** Requests that were in flight when upstreams crashed, by request digest. */
   readonly suspects: ReadonlyMap<string, CrashSuspect>;
 }
 
@@ -37,13 +37,13 @@
   suspects: new Map(),
 };
 
-/** The state in snapshots: maps as arrays. */
+/** Snapshot format of the state, with maps as arrays. */
 export const routingStateSchema = z
   .strictObject({
     document: routingDocumentSchema.nullable(),
     instances: z.array(instanceSchema),
     departed: z.array(departedInstanceSchema).readonly().exactOptional(),
-    /** Ids of instances that left, in snapshots from before starts were told apart. */
+    /** Ids of instances that left; only in snapshots of earlier versions, which did not distinguish the starts of an instance. */
     retired: z.array(z.string()).readonly().exactOptional(),
     engineGroups: z.array(engineGroupSchema),
     engineGroupsIndex: z.int().min(0),
--- a/src/control/state/snapshot.ts
+++ b/src/control/state/snapshot.ts
@@ -7,7 +7,7 @@
 import { decodeRoutingState, encodeRoutingState, routingStateSchema } from './routing-state.js';
 import type { ControlState } from './state.js';
 
-/** The replicated state as JSON text: maps as arrays, checked when read back. */
+/** Snapshots of the replicated state as JSON text, with maps as arrays; validated when decoded. */
 
 /** A failure, in snapshots and in answers. */
 export const failureSchema = z
@@ -78,11 +78,11 @@
   claims: z.array(claim),
   answers: z.array(changeAnswer),
   history: z.array(acceptedChangeSchema).readonly(),
-  /** Absent in snapshots that were taken before there was routing. */
+  /** Absent from snapshots of versions without routing. */
   routing: routingStateSchema.exactOptional(),
 });
 
-/** The whole state as JSON text. */
+/** Encodes the whole state as JSON text. */
 export function encodeSnapshot(state: ControlState): string {
   return JSON.stringify({
     format: 1,
@@ -100,9 +100,9 @@
 }
 
 /**
- * The state of a snapshot.
- * Throws `damagedLog` when the text does not pass its checks: a control host that went on with half a state would
- * answer resends and claims differently from the others.
+ * Decodes a snapshot.
+ * Throws `damagedLog` if the text is invalid: a control host that continued with a partial state would answer resent
+ * changes and claims differently from the others.
  */
 export function decodeSnapshot(text: string): ControlState {
   const parsed = snapshotSchema.safeParse(parseJson(text));
--- a/src/control/state/state-machine.ts
+++ b/src/control/state/state-machine.ts
@@ -4,10 +4,10 @@
 import { decodeSnapshot, encodeSnapshot } from './snapshot.js';
 import { initialControlState, type CommandAnswer, type ControlState } from './state.js';
 
-/** Told of the state after each command or restore. */
+/** Called with the state after each command and each restore. */
 export type StateListener = (state: ControlState) => void;
 
-/** The replicated state of control, fed by the log. */
+/** State machine of control, driven by the replicated log. */
 export class ControlStateMachine implements StateMachine<CommandAnswer> {
   #state: ControlState = initialControlState;
   readonly #listener: StateListener;
@@ -22,7 +22,7 @@
   }
 
   readonly apply = (index: number, command: string): CommandAnswer => {
-    // Entries of the log that are no commands have indexes too; the state follows the log's count.
+    // Log entries that are not commands have indexes too, so the index comes from the log.
     const before = { ...this.#state, index: index - 1 };
     const parsed = parseCommand(command);
     if (parsed.err) {
@@ -47,5 +47,5 @@
 }
 
 function ignoreState(): void {
-  // Nobody listens.
+  // No listener was given.
 }
--- a/src/control/state/state.ts
+++ b/src/control/state/state.ts
@@ -14,51 +14,51 @@
 import { ClaimRegister } from './claim-register.js';
 import { initialRoutingState, type RoutingState } from './routing-state.js';
 
-/** What operators set on one host; goes before what the host says of itself. */
+/** Operators' settings for one host; they take precedence over what the host announces. */
 export interface HostOverride {
-  /** A null takes the label away. */
+  /** A null removes the label. */
   readonly labels: Readonly<Record<string, string | null>>;
   readonly isDraining: boolean;
 }
 
-/** The answer to a change, kept so that a resend gets the same one. */
+/** The answer to a change, kept so that a resent change gets the same one. */
 export interface ChangeAnswer {
   readonly changeId: ChangeId;
-  /** Digest of the change, to tell a resend from a reused id. */
+  /** Digest of the change, to distinguish a resend from a reused id. */
   readonly fingerprint: string;
-  /** Revision after the change; for a refused one, the present revision. */
+  /** Revision after the change; for a refused change, the revision at that time. */
   readonly revision: Revision;
   /** Undefined for an accepted change. */
   readonly failure: Failure | undefined;
-  /** The change that won, for a conflict of revisions. */
+  /** The accepted change that it conflicts with, for a revision conflict. */
   readonly winner: AcceptedChange | undefined;
-  /** What the refused change would have made differ, one line each. */
+  /** How the refused change would have altered the state, one line for each difference. */
   readonly differences: readonly string[];
   readonly at: WallTime;
 }
 
-/** An accepted change, as shown to operators who lost a race against it. */
+/** An accepted change, as shown to operators whose own change conflicts with it. */
 export interface AcceptedChange {
   readonly revision: Revision;
   readonly changeId: ChangeId;
   readonly operator: string;
   readonly at: WallTime;
-  /** One line: what changed. */
+  /** Summary of the differences in one line. */
   readonly summary: string;
 }
 
-/** State of a caller's idempotency key. */
+/** Claim of an idempotency key by a request. */
 export interface Claim {
   readonly account: AccountName;
   readonly key: string;
   readonly fingerprint: string;
   readonly requestId: RequestId;
-  /** `notRun` frees the key for other requests and refuses a late claim by the same one. */
+  /** `notRun` frees the key for other requests; a late claim by the same request is refused. */
   readonly state: 'running' | 'ran' | 'unknown' | 'notRun';
   readonly at: WallTime;
 }
 
-/** All that the control hosts replicate. */
+/** State that the control hosts replicate. */
 export interface ControlState {
   /** Log index of the last command applied. */
   readonly index: number;
@@ -68,7 +68,7 @@
   readonly configuration: Configuration;
   readonly overrides: ReadonlyMap<HostName, HostOverride>;
   readonly groups: ReadonlyMap<GroupName, Group>;
-  /** Highest fencing number given out. */
+  /** Highest fencing number assigned so far. */
   readonly fencingNumber: FencingNumber;
   readonly claims: ClaimRegister;
   readonly answers: ReadonlyMap<ChangeId, ChangeAnswer>;
@@ -91,27 +91,27 @@
   routing: initialRoutingState,
 };
 
-/** What a command did, told to whoever submitted it. */
+/** Result of a command, returned to its submitter. */
 export type CommandAnswer =
   | { readonly type: 'changed'; readonly revision: Revision }
   | { readonly type: 'placed'; readonly groups: readonly Group[] }
   | { readonly type: 'claimed' }
   | { readonly type: 'settled' }
-  /** The version in force after the command, which may be a higher one than the command's. */
+  /** The current version after the command, which may be higher than the command's. */
   | { readonly type: 'routed'; readonly version: number }
   | { readonly type: 'recorded' }
   | { readonly type: 'planned' }
   | {
       readonly type: 'refused';
       readonly failure: Failure;
-      /** The change that won, for a conflict of revisions. */
+      /** The accepted change that it conflicts with, for a revision conflict. */
       readonly winner: AcceptedChange | undefined;
-      /** What the refused change would have made differ from the present state, one line each. */
+      /** How the refused change would have altered the current state, one line for each difference. */
       readonly differences: readonly string[];
     };
 
-/** State after a command and the answer to it. */
-export interface Applied {
+/** State after a command, and the answer to it. */
+export interface ApplyResult {
   readonly state: ControlState;
   readonly answer: CommandAnswer;
 }
--- a/src/control/state/views.ts
+++ b/src/control/state/views.ts
@@ -4,8 +4,8 @@
 import { acceptedChangeSchema } from './snapshot.js';
 
 /**
- * JSON answers of ControlService.Get, one schema for each kind; control writes them, the command line reads them.
- * What may be missing is null in the JSON.
+ * JSON answers of ControlService.Get, one schema for each kind, written by control and read by the command line.
+ * Missing values are null in the JSON.
  */
 
 const revision = z.int().min(0);
@@ -34,7 +34,7 @@
   z.strictObject({ type: z.literal('service'), service: z.string() }).readonly(),
 ]);
 
-/** Kind `configuration`: the configuration in force and the newest accepted changes, oldest first. */
+/** Kind `configuration`: the current configuration and the latest accepted changes, oldest first. */
 export const configurationViewSchema = z
   .strictObject({
     revision,
@@ -52,15 +52,15 @@
     failureDomain: z.string(),
     fabricDomain: z.string(),
     accelerators: z.int(),
-    /** Announced labels with those that operators set in their place. */
+    /** Announced labels with the operators' overrides applied. */
     labels: z.record(z.string(), z.string()).readonly(),
     upstream: upstream.nullable(),
     isHealthy: z.boolean(),
-    /** By an operator or by the host itself. */
+    /** Set by an operator or by the host itself. */
     isDraining: z.boolean(),
-    /** Whether its sidecar reports now. */
+    /** Whether its sidecar currently reports. */
     isPresent: z.boolean(),
-    /** Group that the host is placed in. */
+    /** Group that the host belongs to. */
     group: z.string().nullable(),
     /** Time since the last report of its sidecar. */
     lastReportMilliseconds: z.number(),
@@ -86,7 +86,7 @@
   })
   .readonly();
 
-/** Kind `groups`: every placed group, and the healthy hosts that are in none. */
+/** Kind `groups`: all placed groups, and the healthy hosts without a group. */
 export const groupsViewSchema = z
   .strictObject({
     revision,
@@ -101,15 +101,15 @@
     kind: z.string(),
     /** Highest configuration revision that it has applied. */
     revision,
-    /** Control host that it watches, where known. */
+    /** Control host that it watches, if known. */
     control: z.string().nullable(),
     lastSeenMilliseconds: z.number(),
-    /** `ip:port` where it serves processes of the system, for `report burn`; null where it serves none. */
+    /** `ip:port` where it serves other processes of the system, for `report burn`; null if it serves none. */
     address: z.string().nullable(),
   })
   .readonly();
 
-/** Kind `watchers`: which revision each gateway and sidecar has in force. */
+/** Kind `watchers`: the configuration revision that each gateway and sidecar uses. */
 export const watchersViewSchema = z
   .strictObject({ revision, watchers: z.array(watcherView).readonly() })
   .readonly();
@@ -123,7 +123,7 @@
     leader: z.string().nullable(),
     index: z.int(),
     revision,
-    /** Time since this host last knew that it was up to date with a leader that had a quorum. */
+    /** Time since this host was last known to be up to date with a leader that had a quorum. */
     stalenessMilliseconds: z.number(),
     voters: z
       .array(z.strictObject({ name: z.string(), address: z.string() }).readonly())
@@ -131,7 +131,7 @@
   })
   .readonly();
 
-/** Schemas by the kind that a GetRequest names. */
+/** Schemas by the kind in a GetRequest. */
 export const viewSchemas = {
   configuration: configurationViewSchema,
   hosts: hostsViewSchema,
--- a/src/control/watch-hub.ts
+++ b/src/control/watch-hub.ts
@@ -7,9 +7,9 @@
 import type { Configuration, GroupName, Revision, WatchedGroup } from '../model/index.js';
 import { encodeGroup, MessageQueue } from '../wire/index.js';
 
-/** Sends the state in force to every watcher: the whole of it once, then changes only. */
+/** Sends the current state to every watcher: the full state first, then only changes. */
 
-/** What watchers are told. */
+/** The state that watchers receive. */
 export interface PublishedState {
   /** Log index of the state. */
   readonly index: number;
@@ -18,11 +18,11 @@
   readonly groups: ReadonlyMap<GroupName, WatchedGroup>;
 }
 
-/** Who watches. */
+/** A subscriber. */
 export interface Watcher {
   readonly name: string;
   readonly kind: string;
-  /** Highest revision the watcher said it had when it connected. */
+  /** Highest revision that the watcher had when it connected. */
   readonly revision: Revision;
 }
 
@@ -33,10 +33,10 @@
   readonly queue: MessageQueue<WatchResponse>;
 }
 
-/** Messages queued for one watcher before it is cut off and has to connect again. */
+/** Maximum number of messages queued for one watcher; beyond it the watcher is disconnected and has to reconnect. */
 const queueCapacity = 5000;
 
-/** All watches of one control host. */
+/** All watch subscriptions of one control host. */
 export class WatchHub {
   readonly #subscriptions = new Set<Subscription>();
   #published: PublishedState;
@@ -45,7 +45,7 @@
     this.#published = initial;
   }
 
-  /** Sends what differs from the last published state. */
+  /** Sends the differences from the last published state. */
   publish(state: PublishedState): void {
     const events = listChanges(this.#published, state);
     this.#published = state;
@@ -60,12 +60,12 @@
     }
   }
 
-  /** Notes that the log went on and nothing that watchers are told of changed. */
+  /** Advances the log index when nothing that watchers receive has changed. */
   advance(index: number): void {
     this.#published = { ...this.#published, index };
   }
 
-  /** Tells watchers that this control host lives, and whether it is up to date with a quorum. */
+  /** Tells watchers that this control host is alive, and whether it is up to date with a quorum. */
   sendHeartbeat(isFresh: boolean): void {
     const message = encodeEvent(this.#published.index, {
       case: 'heartbeat',
@@ -76,11 +76,11 @@
     }
   }
 
-  /** Opens a watch; the queue starts with the whole state. */
+  /** Opens a watch; its queue starts with the full state. */
   subscribe(watcher: Watcher): MessageQueue<WatchResponse> {
     const queue = new MessageQueue<WatchResponse>(queueCapacity);
     const subscription = { watcher, queue };
-    for (const event of listWholeState(this.#published, watcher.revision)) {
+    for (const event of listFullState(this.#published, watcher.revision)) {
       queue.push(encodeEvent(this.#published.index, event));
     }
     this.#subscriptions.add(subscription);
@@ -113,7 +113,7 @@
   }
 }
 
-function listWholeState(state: PublishedState, knownRevision: Revision): readonly WatchEventInit[] {
+function listFullState(state: PublishedState, knownRevision: Revision): readonly WatchEventInit[] {
   const events: WatchEventInit[] = [];
   if (state.revision !== knownRevision) {
     events.push(describeConfiguration(state));
--- a/src/control/watcher-directory.ts
+++ b/src/control/watcher-directory.ts
@@ -7,17 +7,17 @@
 } from '../generated/pistachiospoke/v1/control_pb.js';
 import type { Revision } from '../model/index.js';
 
-/** Which gateway has which revision in force, as one control host knows it. */
+/** The configuration revision that each gateway uses, as far as one control host knows. */
 
-/** A gateway that is quiet for this long is forgotten. */
-const forgetAfter: Milliseconds = 24 * 60 * 60 * 1000;
+/** A gateway that has not been heard from for this long is dropped. */
+const watcherRetention: Milliseconds = 24 * 60 * 60 * 1000;
 
-/** What a gateway said of itself. */
+/** State that a gateway reports about itself. */
 export interface WatcherState {
   readonly name: string;
   readonly kind: string;
   readonly revision: Revision;
-  /** `ip:port` for processes of the system; null where it serves none. */
+  /** `ip:port` where it serves other processes of the system; null if it serves none. */
   readonly address: string | null;
   /** Control host that it watches. */
   readonly control: string;
@@ -29,15 +29,16 @@
 }
 
 /**
- * The gateways by name.
- * A gateway changes the control host that it watches, and the one it left goes on knowing its earlier word. Passed on and
- * taken, that word would show the gateway behind for good, since a gateway speaks only when it gets a newer revision.
- * So the gateway's own word is always taken (after a restart it begins at zero), a word passed on only if it is not older.
+ * Gateways by name.
+ * When a gateway switches to another control host, the previous one keeps its earlier state. If that state were forwarded
+ * and accepted, the gateway would appear outdated for good, since it reports only when it gets a newer revision. So a report
+ * from the gateway itself is always accepted (after a restart it begins at revision zero), a forwarded one only if it is not
+ * older.
  */
 export class WatcherDirectory {
   readonly #watchers = new Map<string, KnownWatcher>();
 
-  /** Takes what another control host passes on. */
+  /** Records a state forwarded by another control host, unless it is older. */
   takeForwarded(state: WatcherState, now: Milliseconds): void {
     const known = this.#watchers.get(state.name)?.state.revision ?? 0;
     if (state.revision >= known) {
@@ -45,17 +46,17 @@
     }
   }
 
-  /** Takes a gateway's own word. */
+  /** Records a state reported by the gateway itself. */
   take(state: WatcherState, now: Milliseconds): void {
     this.#watchers.set(state.name, { state, heardAt: now });
     for (const [name, { heardAt }] of this.#watchers) {
-      if (now - heardAt > forgetAfter) {
+      if (now - heardAt > watcherRetention) {
         this.#watchers.delete(name);
       }
     }
   }
 
-  /** Notes that a watcher is connected to a control host at `now`. */
+  /** Records that a watcher is connected to a control host at `now`. */
   refresh(name: string, control: string, now: Milliseconds): void {
     const known = this.#watchers.get(name);
     if (known !== undefined) {
@@ -67,7 +68,7 @@
     return [...this.#watchers.values()];
   }
 
-  /** Those of these names; only a control host that a gateway watches now may speak for it. */
+  /** States of the named gateways. A control host may forward only the states of gateways that watch it now. */
   listStates(names: readonly string[]): readonly WatcherState[] {
     return names.flatMap((name) => this.#watchers.get(name)?.state ?? []);
   }
--- a/src/control/watcher-views.ts
+++ b/src/control/watcher-views.ts
@@ -3,7 +3,7 @@
 import type { WatcherView } from './state/index.js';
 import type { WatcherDirectory } from './watcher-directory.js';
 
-/** Who watches this control host: gateways by what they acknowledged, sidecars by their reports. */
+/** Lists all known watchers: gateways by the revisions they acknowledged, sidecars by their reports. */
 export function listWatcherViews(
   watchers: WatcherDirectory,
   directory: HostDirectory,
