--- a/__tests__/control/engine-directory.test.ts
+++ b/__tests__/control/engine-directory.test.ts
@@ -15,8 +15,8 @@
 
 describe('reports of sidecars', () => {
   /**
-   * Symptom: the leader of control takes a tenth of its core with nothing going on. Every report of a group that serves says another load,
-   * and each made it plan anew.
+   * Guards against a leader that uses a tenth of a core while idle. Every report of a serving group has a different load, and each one
+   * triggered planning.
    */
   it('change nothing when they say another load only', () => {
     const directory = new EngineDirectory();
--- a/__tests__/control/engine-metrics.test.ts
+++ b/__tests__/control/engine-metrics.test.ts
@@ -23,10 +23,10 @@
   it('show what the last decision was made from, and what became of it', async () => {
     const registry = new Registry();
     const metrics = new EngineMetrics(registry);
-    metrics.noteInput(input);
+    metrics.recordInput(input);
     const advance = [{ name: 'large/1', phase: 'closing' as const, reason: 'a member was lost' }];
-    metrics.noteDecision({ place: [], stage: [], remove: [], advance }, input, true);
-    metrics.noteInput({ ...input, groups: input.groups.slice(1) });
+    metrics.recordDecision({ place: [], stage: [], remove: [], advance }, input, true);
+    metrics.recordInput({ ...input, groups: input.groups.slice(1) });
     const page = await registry.metrics();
     expect(page).toContain('pistachiospoke_groups{model="large",phase="joining"} 1');
     expect(page).not.toContain('phase="open"');
--- a/__tests__/control/host-directory.test.ts
+++ b/__tests__/control/host-directory.test.ts
@@ -36,9 +36,9 @@
 }
 
 describe('host directory', () => {
-  // Symptom: a healthy host stays unhealthy in control for good and its group is not placed again.
-  // Sequence: a host comes back from a freeze, reports itself unhealthy to one control host and, on a new connection,
-  // healthy to another; the first one's batch arrives last. Cause: the last report heard counted, and heartbeats carry no facts.
+  // Guards against a healthy host that stays unhealthy in control, so that its group is not placed again. A host that resumes after a
+  // freeze reports itself unhealthy to one control host and then, on a new connection, healthy to another; the forwarded batch of the
+  // first arrives last. The last received report used to win, and heartbeats carry no facts that would correct it.
   it('ignores a report that another control host passes on late', () => {
     const directory = new HostDirectory();
     directory.take(createReport(7, { facts: createFacts(true), factsSequence: 7 }), 10);
@@ -48,16 +48,17 @@
     expect(directory.read().get('host-1')).toMatchObject({ facts: { isHealthy: true } });
   });
 
-  // Symptom: as above. Sequence: the batch that carried changed facts is lost, the heartbeats after it arrive.
-  // Cause: a heartbeat was taken as 'nothing changed since the facts known here' whatever facts those were.
+  // Guards against the same failure when the batch with changed facts is lost and later heartbeats arrive. A heartbeat was taken as
+  // unchanged since whatever facts were known here.
   it('asks for facts that a heartbeat builds on and that never came', () => {
     const directory = new HostDirectory();
     directory.take(createReport(1, { facts: createFacts(true) }), 10);
     expect(directory.take(createReport(3, { factsSequence: 2 }), 20)).toBe('factsMissing');
   });
 
-  // Symptom: a restarted host flips back to its former start, and its groups are placed for a process that is gone.
-  // Sequence: a report of the former start comes by another way after the first one of the new start. Cause: as above.
+  // Guards against a restarted host that reverts to its previous incarnation, so that groups are placed for a process that no longer
+  // exists. A report of the previous incarnation arrives by another path after the first one of the new incarnation, and the last
+  // received report used to win.
   it('ignores the former start of a host that restarted, and of one that left', () => {
     const directory = new HostDirectory();
     directory.take(createReport(90, { facts: createFacts(true), factsSequence: 90 }), 10);
--- a/__tests__/control/instance-histories.test.ts
+++ b/__tests__/control/instance-histories.test.ts
@@ -5,17 +5,18 @@
 import { TestLeader } from './test-leader.js';
 
 /**
- * Random histories of instances that start, start again under their id, leave, speak late, and of others that write in their name,
- * while the leader changes. Symptom of a failure here: requests go where nobody runs, or a sound instance gets none.
+ * Random histories of instances that start, restart under the same id, leave and drain, with delayed announcements, announcements from
+ * other writers under their id or address, leader changes and snapshots. A failure means that requests go to an address where nothing
+ * runs, or that a healthy instance gets none.
  */
 
 const runs = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? '300');
 const ids = ['i-0', 'i-1', 'i-2'] as const;
-/** Instances speak about once a second. */
-const beatInterval = 1200;
+/** Instances announce themselves about once a second. */
+const announceInterval = 1200;
 const settlingTime = 12_000;
-/** Announcements come this late at most. */
-const longestDelay = 5000;
+/** Longest delay of an announcement. */
+const maxDelay = 5000;
 
 type Step =
   | { readonly type: 'start' | 'leave' | 'drain'; readonly index: number }
@@ -47,34 +48,34 @@
   readonly address: string;
   sequence: number;
   isDraining: boolean;
-  beatAt: number;
+  announcedAt: number;
 }
 
 class World {
   readonly #running = new Map<string, Running>();
-  /** All that was ever said, to be heard again late. */
-  readonly #said: { readonly announcement: Announcement; readonly at: number }[] = [];
-  /** Highest start recorded so far, by id; it may not go back. */
+  /** All announcements sent so far, for delayed delivery. */
+  readonly #sent: { readonly announcement: Announcement; readonly at: number }[] = [];
+  /** Latest start time recorded for each id; it must not decrease. */
   readonly #recorded = new Map<string, number>();
-  /** Starts that said they leave, as `id@start`. */
+  /** Starts that announced that they are leaving, as `id@start`. */
   readonly #left = new Set<string>();
   readonly #leader = new TestLeader((instances) => {
     this.#checkStarts(instances);
   });
   #now = 0;
 
-  play(steps: readonly Step[]): void {
+  run(steps: readonly Step[]): void {
     ids.forEach((_, each) => {
       this.#start(each);
     });
     steps.forEach((each) => {
-      this.#take(each);
+      this.#apply(each);
     });
     this.#wait(settlingTime);
-    this.#checkSound();
+    this.#checkFinalState();
   }
 
-  #take(each: Step): void {
+  #apply(each: Step): void {
     switch (each.type) {
       case 'start':
         this.#start(each.index);
@@ -86,31 +87,31 @@
         this.#drain(each.index);
         return;
       case 'late':
-        this.#repeat(each.draw);
+        this.#deliverLate(each.draw);
         return;
       case 'foreign':
-        this.#write(each.index, each.draw);
+        this.#deliverForeign(each.index, each.draw);
         return;
       case 'leader':
-        this.#leader.change();
+        this.#leader.replace();
         return;
       case 'snapshot':
-        this.#leader.restore();
+        this.#leader.restoreFromSnapshot();
         return;
       case 'wait':
         this.#wait(each.duration);
     }
   }
 
-  /** Crashes what runs under the id, and starts it again, by turns at another address. */
+  /** Crashes the running instance with this id and restarts it, alternating between two addresses. */
   #start(each: number): void {
     const id = ids[each] ?? '';
-    // No two starts of one instance fall into the same millisecond.
+    // Start times of one instance are at least a millisecond apart.
     this.#now += 1;
     const startedAt = 1_000_000 + this.#now;
     const address = `10.0.${each}.${this.#now % 2}:80`;
-    this.#running.set(id, { startedAt, address, sequence: 0, isDraining: false, beatAt: 0 });
-    this.#beat(id);
+    this.#running.set(id, { startedAt, address, sequence: 0, isDraining: false, announcedAt: 0 });
+    this.#announce(id);
   }
 
   #leave(each: number): void {
@@ -119,7 +120,7 @@
     if (running !== undefined) {
       this.#running.delete(id);
       this.#left.add(`${id}@${running.startedAt}`);
-      this.#say({ type: 'leaving', id, startedAt: running.startedAt });
+      this.#send({ type: 'leaving', id, startedAt: running.startedAt });
     }
   }
 
@@ -127,31 +128,31 @@
     const running = this.#running.get(ids[each] ?? '');
     if (running !== undefined) {
       running.isDraining = true;
-      this.#beat(ids[each] ?? '');
+      this.#announce(ids[each] ?? '');
     }
   }
 
-  #repeat(drawn: number): void {
-    const recent = this.#said.filter(({ at }) => this.#now - at <= longestDelay);
+  #deliverLate(drawn: number): void {
+    const recent = this.#sent.filter(({ at }) => this.#now - at <= maxDelay);
     const late = recent[drawn % Math.max(1, recent.length)];
     if (late !== undefined) {
-      this.#hear(late.announcement);
+      this.#deliver(late.announcement);
     }
   }
 
-  /** What somebody else could write under an id or at an address: no start, or a service that nobody declared. */
-  #write(each: number, drawn: number): void {
+  /** Announcement from another writer that uses an existing id or address, without a start time or with an undeclared service. */
+  #deliverForeign(each: number, drawn: number): void {
     const id = ids[each] ?? '';
     const address = this.#running.get(id)?.address ?? '10.9.9.9:80';
     const base = { service: 'desk', address, failureDomain: 'a', isDraining: drawn % 2 === 0 };
-    const written: readonly Instance[] = [
+    const candidates: readonly Instance[] = [
       { ...base, id },
       { ...base, id: 'i-foreign', startedAt: 2_000_000, service: 'nobody' },
       { ...base, id, startedAt: 9_000_000, service: 'nobody' },
     ];
-    const instance = written[drawn % written.length];
+    const instance = candidates[drawn % candidates.length];
     if (instance !== undefined) {
-      this.#hear({ type: 'present', instance, sequence: 1_000_000 });
+      this.#deliver({ type: 'present', instance, sequence: 1_000_000 });
     }
   }
 
@@ -159,37 +160,37 @@
     const end = this.#now + duration;
     while (this.#now < end) {
       this.#now += Math.min(100, end - this.#now);
-      for (const [id, { beatAt }] of this.#running) {
-        if (this.#now - beatAt >= beatInterval) {
-          this.#beat(id);
+      for (const [id, { announcedAt }] of this.#running) {
+        if (this.#now - announcedAt >= announceInterval) {
+          this.#announce(id);
         }
       }
-      this.#leader.dropSilent(this.#now);
+      this.#leader.removeSilent(this.#now);
     }
   }
 
-  #beat(id: string): void {
+  #announce(id: string): void {
     const running = this.#running.get(id);
     if (running === undefined) {
       return;
     }
     running.sequence += 1;
-    running.beatAt = this.#now;
+    running.announcedAt = this.#now;
     const { startedAt, address, isDraining, sequence } = running;
     const instance = { id, startedAt, service: 'desk', address, failureDomain: 'a', isDraining };
-    this.#say({ type: 'present', instance, sequence });
+    this.#send({ type: 'present', instance, sequence });
   }
 
-  #say(announcement: Announcement): void {
-    this.#said.push({ announcement, at: this.#now });
-    this.#hear(announcement);
+  #send(announcement: Announcement): void {
+    this.#sent.push({ announcement, at: this.#now });
+    this.#deliver(announcement);
   }
 
-  #hear(announcement: Announcement): void {
-    this.#leader.take(announcement, this.#now);
+  #deliver(announcement: Announcement): void {
+    this.#leader.handleAnnouncement(announcement, this.#now);
   }
 
-  /** One instance an id by the map; never an earlier start, and none that left. */
+  /** The map holds one instance per id. Checks that no earlier start and no start that left is recorded. */
   #checkStarts(instances: readonly Instance[]): void {
     for (const { id, startedAt = 0 } of instances) {
       expect(startedAt).toBeGreaterThanOrEqual(this.#recorded.get(id) ?? 0);
@@ -198,7 +199,7 @@
     }
   }
 
-  #checkSound(): void {
+  #checkFinalState(): void {
     const known = this.#leader.instances
       .map(({ id, startedAt, address, isDraining }) => ({ id, startedAt, address, isDraining }))
       .sort((one, other) => one.id.localeCompare(other.id));
@@ -210,10 +211,10 @@
 }
 
 describe('histories of instances', () => {
-  it('never bring back an earlier start, and lose no sound instance to late or foreign words', () => {
+  it('never restore an earlier start, and lose no healthy instance to delayed or foreign announcements', () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
-        new World().play(steps);
+        new World().run(steps);
       }),
       { numRuns: runs, seed: 20_261 },
     );
--- a/__tests__/control/instance-recorder.test.ts
+++ b/__tests__/control/instance-recorder.test.ts
@@ -19,13 +19,13 @@
   return { id, service: 'engines', address, failureDomain: 'z', isDraining: false };
 }
 
-/** A log whose entries are committed when the test says so. */
+/** A log whose entries are committed when the test requests it. */
 class TestLog {
   state: ControlState = initialControlState;
   readonly entries: Command[] = [];
   #commit: ((result: Result<CommandAnswer, Failure>) => void) | undefined;
 
-  readonly proposeHere = (command: Command): Promise<Result<CommandAnswer, Failure>> => {
+  readonly proposeLocally = (command: Command): Promise<Result<CommandAnswer, Failure>> => {
     this.entries.push(command);
     return new Promise((resolve) => {
       this.#commit = resolve;
@@ -38,7 +38,7 @@
       this.state = applyCommand(this.state, entry).state;
     }
     this.#commit?.(new Ok({ type: 'recorded' }));
-    // The recorder goes on in later turns.
+    // The recorder continues in later turns of the event loop.
     await new Promise((resolve) => setImmediate(resolve));
   }
 
@@ -49,8 +49,8 @@
 }
 
 describe('instances that announce themselves at once', () => {
-  // Symptom: after a start no group is placed for seconds, and the leader changes. Sequence: hundreds of instances announce themselves
-  // within a second. Cause: each had an entry of its own in the log, written, sent, applied and told to every watcher one by one.
+  // Guards against seconds without group placement and a leader change after startup. Hundreds of instances announce themselves within
+  // a second, and each had its own log entry, which was written, sent, applied and published to every watcher one after another.
   it('share entries of the log', async () => {
     const log = new TestLog();
     const recorder = new InstanceRecorder(log);
--- a/__tests__/control/instance-starts.test.ts
+++ b/__tests__/control/instance-starts.test.ts
@@ -22,108 +22,110 @@
 
 describe('an instance that starts again under its id', () => {
   /**
-   * Symptom: an instance that started again gets no requests for as long as its first life lasted. Its announcements count
-   * anew, and were taken for late ones of the start before; meanwhile it was dropped as silent.
+   * Guards against a restarted instance that gets no requests for as long as its previous run lasted. Its sequence starts again, so
+   * its announcements were taken for delayed ones of the previous start, and the instance was removed as silent.
    */
-  it('is heard at once, though its announcements count anew', () => {
+  it('is recorded at once, although its sequence starts again', () => {
     const leader = new TestLeader();
-    leader.take(present(1000, 40), 0);
-    expect(leader.take(present(9000, 1), 100)).toBe('record');
+    leader.handleAnnouncement(present(1000, 40), 0);
+    expect(leader.handleAnnouncement(present(9000, 1), 100)).toBe('record');
     expect(leader.instances).toMatchObject([{ id: 'i-1', startedAt: 9000 }]);
-    leader.take(present(9000, 2), 4000);
-    leader.dropSilent(8000);
+    leader.handleAnnouncement(present(9000, 2), 4000);
+    leader.removeSilent(8000);
     expect(leader.instances).toHaveLength(1);
   });
 
   it('is another instance after the one before left, drained, fell silent or moved', () => {
     const left = new TestLeader();
-    left.take(present(1000, 1), 0);
-    left.take({ type: 'leaving', id: 'i-1', startedAt: 1000 }, 100);
-    expect(left.take(present(9000, 1), 200)).toBe('record');
+    left.handleAnnouncement(present(1000, 1), 0);
+    left.handleAnnouncement({ type: 'leaving', id: 'i-1', startedAt: 1000 }, 100);
+    expect(left.handleAnnouncement(present(9000, 1), 200)).toBe('record');
     expect(left.instances).toMatchObject([{ startedAt: 9000, isDraining: false }]);
 
     const drained = new TestLeader();
-    drained.take(present(1000, 1, { isDraining: true }), 0);
-    drained.take(present(9000, 1), 100);
+    drained.handleAnnouncement(present(1000, 1, { isDraining: true }), 0);
+    drained.handleAnnouncement(present(9000, 1), 100);
     expect(drained.instances).toMatchObject([{ startedAt: 9000, isDraining: false }]);
 
     const silent = new TestLeader();
-    silent.take(present(1000, 1), 0);
-    silent.dropSilent(6000);
-    silent.take(present(9000, 1), 7000);
+    silent.handleAnnouncement(present(1000, 1), 0);
+    silent.removeSilent(6000);
+    silent.handleAnnouncement(present(9000, 1), 7000);
     expect(silent.instances).toMatchObject([{ startedAt: 9000 }]);
 
     const moved = new TestLeader();
-    moved.take(present(1000, 1), 0);
-    moved.take(present(9000, 1, { address: '10.0.0.9:80' }), 100);
+    moved.handleAnnouncement(present(1000, 1), 0);
+    moved.handleAnnouncement(present(9000, 1, { address: '10.0.0.9:80' }), 100);
     expect(moved.instances).toMatchObject([{ startedAt: 9000, address: '10.0.0.9:80' }]);
   });
 
   /**
-   * Symptom: requests go to an address where nobody is. A partition held back what the start before had said; it arrives after
-   * the new start registered elsewhere, also at a leader that has heard neither.
+   * Guards against requests to an address where nothing runs. Announcements of the previous start, delayed by a partition, arrive
+   * after the new start has registered at another address, possibly at a leader that has heard neither.
    */
-  it('is not replaced by late words of the start before', () => {
+  it('is not replaced by delayed announcements of the previous start', () => {
     const leader = new TestLeader();
-    leader.take(present(1000, 1), 0);
-    leader.take(present(9000, 1, { address: '10.0.0.9:80' }), 100);
-    expect(leader.take(present(1000, 7, { isDraining: true }), 200)).toBe('retired');
-    leader.change();
-    expect(leader.take(present(1000, 8), 300)).toBe('retired');
-    expect(leader.take({ type: 'leaving', id: 'i-1', startedAt: 1000 }, 400)).toBe('record');
+    leader.handleAnnouncement(present(1000, 1), 0);
+    leader.handleAnnouncement(present(9000, 1, { address: '10.0.0.9:80' }), 100);
+    expect(leader.handleAnnouncement(present(1000, 7, { isDraining: true }), 200)).toBe('retired');
+    leader.replace();
+    expect(leader.handleAnnouncement(present(1000, 8), 300)).toBe('retired');
+    expect(leader.handleAnnouncement({ type: 'leaving', id: 'i-1', startedAt: 1000 }, 400)).toBe(
+      'record',
+    );
     expect(leader.instances).toMatchObject([{ startedAt: 9000, isDraining: false }]);
   });
 
-  it('stays gone when it left and words of that start or of earlier ones come late', () => {
+  it('stays removed after it left, despite delayed announcements of that start or earlier ones', () => {
     const leader = new TestLeader();
-    leader.take(present(1000, 1), 0);
-    leader.take(present(9000, 1), 100);
-    leader.take({ type: 'leaving', id: 'i-1', startedAt: 9000 }, 200);
-    leader.change();
-    expect(leader.take(present(9000, 2), 300)).toBe('retired');
-    expect(leader.take(present(1000, 9), 400)).toBe('retired');
+    leader.handleAnnouncement(present(1000, 1), 0);
+    leader.handleAnnouncement(present(9000, 1), 100);
+    leader.handleAnnouncement({ type: 'leaving', id: 'i-1', startedAt: 9000 }, 200);
+    leader.replace();
+    expect(leader.handleAnnouncement(present(9000, 2), 300)).toBe('retired');
+    expect(leader.handleAnnouncement(present(1000, 9), 400)).toBe('retired');
     expect(leader.instances).toEqual([]);
   });
 
   /**
-   * Symptom: an instance whose host's clock was set back gets no requests. It names an earlier start than the one before it, which
-   * looks like a late word of an earlier start.
+   * Guards against an instance that gets no requests because the clock of its host was set back. Its start time is earlier than that
+   * of its predecessor, which looks like a delayed announcement of an earlier start.
    */
-  it('is taken once it has proved to run, where the clock of its host was set back', () => {
+  it('is recorded once it has shown that it runs, if the clock of its host was set back', () => {
     const leader = new TestLeader();
-    leader.take(present(9000, 1), 0);
-    expect(leader.take(present(500, 1), 1000)).toBe('retired');
-    expect(leader.take(present(500, 2), 2200)).toBe('retired');
-    expect(leader.take(present(500, 6), 7100)).toBe('record');
+    leader.handleAnnouncement(present(9000, 1), 0);
+    expect(leader.handleAnnouncement(present(500, 1), 1000)).toBe('retired');
+    expect(leader.handleAnnouncement(present(500, 2), 2200)).toBe('retired');
+    expect(leader.handleAnnouncement(present(500, 6), 7100)).toBe('record');
     expect(leader.instances).toMatchObject([{ startedAt: 500 }]);
-    expect(leader.take(present(9000, 2), 7200)).toBe('retired');
+    expect(leader.handleAnnouncement(present(9000, 2), 7200)).toBe('retired');
   });
 
-  it('is not taken for a clock set back while the start that is there still speaks', () => {
+  it('is rejected despite an earlier start time while the current start still announces itself', () => {
     const leader = new TestLeader();
     for (let now = 0; now <= 20_000; now += 1000) {
-      leader.take(present(9000, now), now);
-      expect(leader.take(present(500, now), now)).toBe('retired');
+      leader.handleAnnouncement(present(9000, now), now);
+      expect(leader.handleAnnouncement(present(500, now), now)).toBe('retired');
     }
   });
 });
 
 describe('announcements from other writers', () => {
   /**
-   * Symptom: a sound instance gets no requests any more. Somebody else announced another one at its address, with a service that
-   * nobody declared, and the sound one was taken for replaced.
+   * Guards against a healthy instance that no longer gets requests. Another writer announced an instance at its address with an
+   * undeclared service, and the healthy instance was taken for replaced.
    */
-  it('that name an unknown service change nothing', () => {
+  it('with an unknown service change nothing', () => {
     const leader = new TestLeader();
-    leader.take(present(1000, 1), 0);
+    leader.handleAnnouncement(present(1000, 1), 0);
     const foreign = present(2000, 1, { id: 'i-foreign', service: 'nobody' });
-    expect(leader.take(foreign, 100)).toBe('unusable');
+    expect(leader.handleAnnouncement(foreign, 100)).toBe('unusable');
     expect(leader.instances).toMatchObject([{ id: 'i-1' }]);
   });
 
-  it('that name no start change nothing at an instance that names its starts', () => {
+  it('without a start time do not change an instance that has one', () => {
     const leader = new TestLeader();
-    leader.take(present(1000, 1), 0);
+    leader.handleAnnouncement(present(1000, 1), 0);
     const instance: Instance = {
       id: 'i-1',
       service: 'desk',
@@ -131,18 +133,20 @@
       failureDomain: 'a',
       isDraining: true,
     };
-    expect(leader.take({ type: 'present', instance, sequence: 9 }, 100)).toBe('unusable');
+    expect(leader.handleAnnouncement({ type: 'present', instance, sequence: 9 }, 100)).toBe(
+      'unusable',
+    );
     expect(leader.instances).toMatchObject([{ startedAt: 1000, isDraining: false }]);
   });
 
-  /** Symptom: as above, with a service that is declared: no field shows that nobody runs under the other id. */
-  it('that claim the address of a sound instance cost it a few seconds at most', () => {
+  /** As above, but with a declared service: no field shows that nothing runs under the other id. */
+  it('that claim the address of a healthy instance displace it for a few seconds at most', () => {
     const leader = new TestLeader();
-    leader.take(present(1000, 1), 0);
-    leader.take(present(2000, 1, { id: 'i-foreign' }), 100);
+    leader.handleAnnouncement(present(1000, 1), 0);
+    leader.handleAnnouncement(present(2000, 1, { id: 'i-foreign' }), 100);
     expect(leader.instances).toMatchObject([{ id: 'i-foreign' }]);
     for (let beat = 1; beat <= 6; beat += 1) {
-      leader.take(present(1000, 1 + beat), beat * 1200);
+      leader.handleAnnouncement(present(1000, 1 + beat), beat * 1200);
     }
     expect(leader.instances).toMatchObject([{ id: 'i-1' }]);
   });
--- a/__tests__/control/membership-policy.test.ts
+++ b/__tests__/control/membership-policy.test.ts
@@ -26,7 +26,7 @@
 const leaderless = { type: 'leaderless', term: 1 } as const;
 
 describe('members of the log', () => {
-  it('ask to be taken in when they hear no leader for longer than an election', () => {
+  it('request admission when they hear no leader for longer than an election', () => {
     const policy = new MembershipPolicy(3);
     expect(policy.decide(createStatus(leaderless, []), 0).type).toBe('wait');
     expect(policy.decide(createStatus(leaderless, []), 1000).type).toBe('wait');
@@ -37,10 +37,10 @@
   });
 
   /**
-   * Symptom: control has no quorum although two of three hosts are well. One was replaced for good, its vote was missing from
-   * then on, and the next restart was one too many.
+   * Guards against control without a quorum although two of three hosts are healthy. One host had been replaced permanently but stayed
+   * a voter; its vote was missing from then on, and the next restart lost the quorum.
    */
-  it('are taken out when they stay silent and another one votes in their place', () => {
+  it('are removed when they stay silent and another one votes in their place', () => {
     const policy = new MembershipPolicy(3);
     const status = createStatus(leading, ['a', 'b', 'c', 'd'], ['c']);
     expect(policy.decide(status, 0).type).toBe('wait');
@@ -54,7 +54,7 @@
     expect(policy.decide(status, 60_000).type).toBe('wait');
   });
 
-  it('are taken in until seven vote, and then in place of a silent one', () => {
+  it('are admitted until there are seven voters, and then in place of a silent one', () => {
     const policy = new MembershipPolicy(5);
     const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
     expect(policy.mayAdmit(createStatus(leading, names.slice(0, 6)))).toBe(true);
--- a/__tests__/control/plan-pacing.test.ts
+++ b/__tests__/control/plan-pacing.test.ts
@@ -2,14 +2,14 @@
 
 import { PlanPacing } from '../../src/control/routing/index.js';
 
-/** Time spent on plans within a second in which one is asked for all the time. */
+/** Planning time within one second in which a plan is requested continuously. */
 function planForOneSecond(planDuration: number): number {
   const pacing = new PlanPacing();
   let now = 0;
   let spent = 0;
   while (now < 1000) {
-    now += pacing.findRest(now);
-    pacing.notePlan(now, now + planDuration);
+    now += pacing.findDelay(now);
+    pacing.recordPlan(now, now + planDuration);
     now += planDuration;
     spent += planDuration;
   }
@@ -17,16 +17,16 @@
 }
 
 describe('plans of a leader', () => {
-  // Symptom: control changes its leader while no host is lost. Sequence: hundreds of engines report at once after a start; each report
-  // asks for a plan, and a plan looks at all engines. Cause: the leader made them one after the other, and its heartbeats came too late.
+  // Guards against a leader change although no host failed. After startup, hundreds of engines report at once, each report requests a
+  // plan, and each plan examines all engines. The leader made the plans one after another, and its heartbeats came too late.
   it.each([0.2, 2, 20])('leave it time for other work where one takes %s ms', (duration) => {
     expect(planForOneSecond(duration)).toBeLessThanOrEqual(200 + duration);
   });
 
   it('are made at once where the last one was long ago', () => {
     const pacing = new PlanPacing();
-    expect(pacing.findRest(0)).toBe(0);
-    pacing.notePlan(0, 2);
-    expect(pacing.findRest(100)).toBe(0);
+    expect(pacing.findDelay(0)).toBe(0);
+    pacing.recordPlan(0, 2);
+    expect(pacing.findDelay(100)).toBe(0);
   });
 });
--- a/__tests__/control/routing-hub.test.ts
+++ b/__tests__/control/routing-hub.test.ts
@@ -12,7 +12,7 @@
 import type { MessageQueue } from '../../src/wire/index.js';
 import { createDocument } from '../routing/documents.js';
 
-const sign = { isFresh: true, leader: '10.0.0.1:1', voters: ['10.0.0.1:1'] };
+const status = { isFresh: true, leader: '10.0.0.1:1', voters: ['10.0.0.1:1'] };
 
 function apply(state: ControlState, command: Command): ControlState {
   return applyCommand(state, command).state;
@@ -54,7 +54,7 @@
   queue.close();
   const cases: string[] = [];
   for await (const { event } of queue) {
-    // Several events may be told in one message.
+    // A batch message contains several events.
     const told = event.case === 'batch' ? event.value.events : [{ event }];
     cases.push(...told.map((each) => each.event.case ?? ''));
   }
@@ -63,14 +63,14 @@
 
 describe('routing watches', () => {
   /**
-   * Symptom: a restarted gateway refuses its callers for half a second although it has the newest document. The sign that vouches
-   * for it came before the document, and counts for nothing then; the next one comes half a second later.
+   * Guards against a restarted gateway that refuses requests for half a second although it has the newest document. The status that
+   * confirms the document arrived before it and was ignored; the next one follows half a second later.
    */
-  it('begin with the whole state and end it with the sign that vouches for it', async () => {
+  it('begin with the full state, followed by the status that confirms it', async () => {
     const hub = new RoutingHub();
     const state = apply(apply(initialControlState, putVersion(3)), announce('i-1'));
     hub.publish(state.index, state.routing);
-    expect(await readAll(hub.subscribe(0, sign))).toEqual([
+    expect(await readAll(hub.subscribe(0, status))).toEqual([
       'document',
       'instance',
       'synchronized',
@@ -78,18 +78,18 @@
     ]);
   });
 
-  it('leave a document out that the watcher has', async () => {
+  it('omit a document that the watcher already has', async () => {
     const hub = new RoutingHub();
     const state = apply(initialControlState, putVersion(3));
     hub.publish(state.index, state.routing);
-    expect(await readAll(hub.subscribe(3, sign))).toEqual(['synchronized', 'sign']);
+    expect(await readAll(hub.subscribe(3, status))).toEqual(['synchronized', 'sign']);
   });
 
   // Guards against a new or reconnected gateway that sends a request which is already quarantined.
   it('send quarantined requests and their release to gateways, including those that connect later', async () => {
     const hub = new RoutingHub();
-    const early = hub.subscribe(0, sign);
-    const sidecar = hub.subscribe(0, sign, 'h1');
+    const early = hub.subscribe(0, status);
+    const sidecar = hub.subscribe(0, status, 'h1');
     let state = initialControlState;
     const change = (command: Command): void => {
       state = apply(state, command);
@@ -99,9 +99,9 @@
       const crashes = [{ upstream, requests: ['a'] }];
       change({ type: 'noteCrashes', at: 0, crashes, answered: [] });
     }
-    const late = hub.subscribe(0, sign);
+    const late = hub.subscribe(0, status);
     change({ type: 'noteCrashes', at: 0, crashes: [], answered: ['a'] });
-    const after = hub.subscribe(0, sign);
+    const after = hub.subscribe(0, status);
     const begin = ['synchronized', 'sign'];
     expect(await readAll(early)).toEqual([...begin, 'requestQuarantined', 'requestReleased']);
     expect(await readAll(late)).toEqual(['requestQuarantined', ...begin, 'requestReleased']);
@@ -113,7 +113,7 @@
     const hub = new RoutingHub();
     const first = apply(initialControlState, putVersion(3));
     hub.publish(first.index, first.routing);
-    const queue = hub.subscribe(3, sign);
+    const queue = hub.subscribe(3, status);
     const second = apply(first, putVersion(2));
     hub.publish(second.index, second.routing);
     const third = apply(second, announce('i-1'));
@@ -122,14 +122,14 @@
   });
 
   /**
-   * Symptom: forty sidecars read every new document and every change of every group, which takes half of their processor time and
-   * more bytes between failure domains than all requests.
+   * Guards against forty sidecars decoding every new document and every group change, which took half of their processor time and more
+   * traffic between failure domains than all requests.
    */
-  it('of a sidecar tell of the groups of its own host only', async () => {
+  it('send a sidecar only the groups of its own host', async () => {
     const hub = new RoutingHub();
     const placed = apply(apply(initialControlState, putVersion(3)), placeGroup('large/1', 'h1'));
     hub.publish(placed.index, placed.routing);
-    const queue = hub.subscribe(0, sign, 'h1');
+    const queue = hub.subscribe(0, status, 'h1');
     const other = apply(apply(placed, placeGroup('large/2', 'h2')), announce('i-1'));
     hub.publish(other.index, other.routing);
     const removed = apply(other, removeGroups(['large/1', 'large/2']));
@@ -139,19 +139,19 @@
   });
 
   /**
-   * A change that had been acknowledged came into force seconds late at gateways. With 1,400 routes a document takes 400 KB; in a series of
-   * changes each one was sent whole, and the newest waited behind all that it had replaced. A sign that vouches for the state waited with
-   * them, and was taken for new when it came.
+   * Guards against an acknowledged change that takes effect at gateways seconds late. With 1,400 routes a document takes 400 KB. In a
+   * series of changes each document was sent whole, and the newest waited behind all those it replaced. The status that confirms the
+   * state waited with them, and counted as new when it arrived.
    */
-  it('tell a watcher that is slow to read the newest document and the newest sign only', async () => {
+  it('send only the newest document and the newest status to a slow watcher', async () => {
     const hub = new RoutingHub();
     let state = apply(initialControlState, putVersion(3));
     hub.publish(state.index, state.routing);
-    const queue = hub.subscribe(0, sign);
+    const queue = hub.subscribe(0, status);
     for (let version = 4; version <= 20; version += 1) {
       state = apply(state, putVersion(version));
       hub.publish(state.index, state.routing);
-      hub.sendSign({ ...sign, leader: `10.0.0.1:${version}` });
+      hub.sendSign({ ...status, leader: `10.0.0.1:${version}` });
     }
     queue.close();
     const told: string[] = [];
@@ -168,16 +168,16 @@
     expect(told).toEqual(['document 3', 'synchronized', 'document 20', 'sign 10.0.0.1:20']);
   });
 
-  // Symptom: control changes its leader after a start. Sequence: tens of gateways connect at once, and hundreds of instances announce
-  // themselves. Cause: each instance was a message of its own to each gateway, and the leader had no time for its heartbeats.
-  it('tell of many instances in one message', async () => {
+  // Guards against a leader change after startup. Tens of gateways connect at once while hundreds of instances announce themselves.
+  // Each instance was sent to each gateway as a separate message, which left the leader no time for its heartbeats.
+  it('send many instances in one message', async () => {
     const hub = new RoutingHub();
     const ids = Array.from({ length: 400 }, (_, index) => 'i'.repeat(index + 1));
     const half = ids
       .slice(0, 200)
       .reduce((known, id) => apply(known, announce(id)), apply(initialControlState, putVersion(3)));
     hub.publish(half.index, half.routing);
-    const queue = hub.subscribe(3, sign);
+    const queue = hub.subscribe(3, status);
     const whole = ids.slice(200).reduce((known, id) => apply(known, announce(id)), half);
     hub.publish(whole.index, whole.routing);
     queue.close();
@@ -195,7 +195,7 @@
     const hub = new RoutingHub();
     const state = apply(initialControlState, putVersion(3));
     hub.publish(state.index, state.routing);
-    const queue = hub.subscribe(0, sign);
+    const queue = hub.subscribe(0, status);
     queue.close();
     for await (const { event } of queue) {
       expect(JSON.stringify(event.value, stringifyBigints)).not.toContain('a secret');
@@ -203,7 +203,7 @@
   });
 });
 
-/** JSON has no words for 64-bit numbers. */
+/** JSON cannot represent bigint values. */
 function stringifyBigints(_: string, value: unknown): unknown {
   return typeof value === 'bigint' ? value.toString() : value;
 }
--- a/__tests__/control/test-leader.ts
+++ b/__tests__/control/test-leader.ts
@@ -1,4 +1,4 @@
-import { InstanceBook } from '../../src/control/routing/index.js';
+import { InstanceTracker } from '../../src/control/routing/index.js';
 import {
   applyCommand,
   decodeSnapshot,
@@ -9,13 +9,13 @@
 import type { Announcement, Instance } from '../../src/routing/index.js';
 import { createDocument } from '../routing/documents.js';
 
-/** An instance that is not heard of for this long is dropped. */
+/** An instance that has not announced itself for this long is removed. */
 const silenceLimit = 5000;
 
-/** A leader of control that takes announcements and records what they change. */
+/** A control leader that handles announcements and records the resulting changes. */
 export class TestLeader {
   readonly #onRecorded: (instances: readonly Instance[]) => void;
-  #book = new InstanceBook();
+  #tracker = new InstanceTracker();
   #state: ControlState;
 
   constructor(onRecorded: (instances: readonly Instance[]) => void = () => undefined) {
@@ -28,27 +28,27 @@
     return [...this.#state.routing.instances.values()];
   }
 
-  /** Answers what the announcement was taken for. */
-  take(announcement: Announcement, now: number): string {
-    const verdict = this.#book.take(announcement, this.#state.routing, now);
+  /** Returns the type of the verdict. */
+  handleAnnouncement(announcement: Announcement, now: number): string {
+    const verdict = this.#tracker.handleAnnouncement(announcement, this.#state.routing, now);
     if (verdict.type === 'record') {
       this.#record(verdict.changes);
     }
     return verdict.type;
   }
 
-  dropSilent(now: number): void {
-    const silent = this.#book.findSilent(this.#state.routing, now, silenceLimit);
+  removeSilent(now: number): void {
+    const silent = this.#tracker.findSilent(this.#state.routing, now, silenceLimit);
     this.#record({ silent });
   }
 
-  /** Another host leads, which knows the state and nothing that was announced. */
-  change(): void {
-    this.#book = new InstanceBook();
+  /** Simulates a new leader, which knows the state but no earlier announcements. */
+  replace(): void {
+    this.#tracker = new InstanceTracker();
   }
 
-  /** The state goes through a snapshot. */
-  restore(): void {
+  /** Encodes and decodes the state as a snapshot. */
+  restoreFromSnapshot(): void {
     this.#state = decodeSnapshot(encodeSnapshot(this.#state));
   }
 
--- a/src/control/routing/command-batcher.ts
+++ b/src/control/routing/command-batcher.ts
@@ -11,7 +11,7 @@
   readonly resolve: (result: Result<undefined, Failure>) => void;
 }
 
-export type CommandProposer = Pick<CommandSubmitter, 'proposeHere'>;
+export type CommandProposer = Pick<CommandSubmitter, 'proposeLocally'>;
 
 /** Proposes one command at a time; items that arrive while it is in progress are batched into the next command. */
 export class CommandBatcher<Item> {
@@ -41,7 +41,7 @@
       const batch = this.#waiting;
       this.#waiting = [];
       const command = this.#createCommand(batch.map(({ item }) => item));
-      const answer = await this.#proposer.proposeHere(command);
+      const answer = await this.#proposer.proposeLocally(command);
       const result = answer.ok ? new Ok(undefined) : answer;
       batch.forEach(({ resolve }) => {
         resolve(result);
--- a/src/control/routing/describe-decision.ts
+++ b/src/control/routing/describe-decision.ts
@@ -7,9 +7,9 @@
 } from '../../engines/index.js';
 import { formatIdentity } from '../../routing/index.js';
 
-/** Tells in the log what was decided on groups of engines, and what it was decided from. */
+/** Describes decisions on engine groups, and their inputs, for the log. */
 
-/** Fields of the log line on a decision. */
+/** Fields of the log line for a decision. */
 export function describeDecision(decision: EngineDecision, input: PlannerInput): object {
   const { place, advance, remove } = decision;
   return {
@@ -22,8 +22,8 @@
 }
 
 /**
- * Adds what the leader had last heard of each member where a group is given up: a report that names no engine, an old one, and one
- * of another instance lead to the same step, and have different causes.
+ * Adds the last report of each member to a closing or removed group. The same step can have different causes: a report without an
+ * engine, an old report, or a report of another instance.
  */
 function addReports(step: GroupAdvance | GroupRemoval, input: PlannerInput): object {
   if ('phase' in step && step.phase !== 'closing') {
@@ -51,12 +51,12 @@
   return `${formatIdentity(reading.instance)} ${state}, ${age}`;
 }
 
-/** Requests that want to run at one moment, by model, as a decision took them. */
+/** Concurrent requests by model, as used by the decision. */
 function describeDemand({ demand }: PlannerInput): Readonly<Record<string, number>> {
   return Object.fromEntries([...demand].map(([model, count]) => [model, Math.round(count)]));
 }
 
-/** Engines that answer and stand in no group, with the models that they have at hand. */
+/** Responding engines that are in no group, with the models that they have loaded or staged. */
 function listIdle({ engines, groups }: PlannerInput): readonly string[] {
   const placed = new Set(groups.flatMap(({ group }) => group.members.map(({ host }) => host)));
   return [...engines.values()].flatMap(({ host, facts: { reading, lastModel } }) => {
--- a/src/control/routing/engine-directory.ts
+++ b/src/control/routing/engine-directory.ts
@@ -4,31 +4,31 @@
 import type { EngineView } from '../../engines/index.js';
 import type { EngineFacts } from '../../routing/index.js';
 
-/** What the leader last heard of each engine from the sidecar beside it; free of I/O. */
+/** Latest report of each engine from its sidecar, on the leader; free of I/O. */
 
-/** A report as it came in. */
+/** A decoded report. */
 export interface ReceivedReport {
   readonly host: string;
   readonly incarnation: string;
   readonly sequence: number;
-  /** Undefined when nothing changed since the report before. */
+  /** Undefined if nothing has changed since the previous report. */
   readonly facts: EngineFacts | undefined;
 }
 
 /**
- * What became of a report. `unchanged`: it says nothing but another load, for which no step has to be taken at once. `factsMissing`: the
- * sidecar has to send its facts again.
+ * Result of a report. `unchanged`: only the load differs, which needs no immediate planning. `late`: a newer report arrived first.
+ * `factsMissing`: the sidecar has to send its facts again.
  */
 export type EngineReportVerdict = 'changed' | 'unchanged' | 'late' | 'factsMissing';
 
-/** Hosts that are silent for this long are forgotten. */
-const forgetAfter: Milliseconds = 600_000;
+/** Hosts that have not reported for this long are dropped. */
+const reportRetention: Milliseconds = 600_000;
 
 interface KnownEngine {
   readonly incarnation: string;
   readonly sequence: number;
   readonly facts: EngineFacts;
-  readonly heardAt: Milliseconds;
+  readonly receivedAt: Milliseconds;
 }
 
 export class EngineDirectory {
@@ -37,26 +37,25 @@
   take(report: ReceivedReport, now: Milliseconds): EngineReportVerdict {
     const { host, incarnation, sequence } = report;
     const known = this.#engines.get(host);
-    const isSameLife = known?.incarnation === incarnation;
-    if (isSameLife && sequence <= known.sequence) {
+    const isSameIncarnation = known?.incarnation === incarnation;
+    if (isSameIncarnation && sequence <= known.sequence) {
       return 'late';
     }
-    const facts = report.facts ?? (isSameLife ? known.facts : undefined);
+    const facts = report.facts ?? (isSameIncarnation ? known.facts : undefined);
     if (facts === undefined) {
       return 'factsMissing';
     }
-    this.#engines.set(host, { incarnation, sequence, facts, heardAt: now });
-    const isSame =
-      isSameLife && isDeepStrictEqual(describeState(facts), describeState(known.facts));
+    this.#engines.set(host, { incarnation, sequence, facts, receivedAt: now });
+    const isSame = isSameIncarnation && isDeepStrictEqual(omitLoad(facts), omitLoad(known.facts));
     return isSame ? 'unchanged' : 'changed';
   }
 
   /** All engines by host. */
   describe(now: Milliseconds): ReadonlyMap<string, EngineView> {
     const views = new Map<string, EngineView>();
-    for (const [host, { facts, heardAt }] of this.#engines) {
-      const silence = now - heardAt;
-      if (silence > forgetAfter) {
+    for (const [host, { facts, receivedAt }] of this.#engines) {
+      const silence = now - receivedAt;
+      if (silence > reportRetention) {
         this.#engines.delete(host);
         continue;
       }
@@ -65,14 +64,14 @@
     return views;
   }
 
-  /** A host that leads no more hears no reports; what it knew would be old when it leads again. */
+  /** Drops all reports. A host that is no longer the leader receives none, so its data would be out of date when it leads again. */
   clear(): void {
     this.#engines.clear();
   }
 }
 
-/** All but the load, which changes with every report of a group that serves. */
-function describeState({ reading, ...others }: EngineFacts): object {
+/** Everything except the load, which changes with every report of a serving group. */
+function omitLoad({ reading, ...others }: EngineFacts): object {
   return reading === undefined
     ? others
     : { ...others, reading: { ...reading, running: 0, waiting: 0 } };
--- a/src/control/routing/engine-loop.ts
+++ b/src/control/routing/engine-loop.ts
@@ -19,11 +19,11 @@
 import { LoadBudget } from './load-budget.js';
 import { PlanPacing } from './plan-pacing.js';
 
-/** On the leader, asks the planner what to do whenever something changed, and commits the answer. */
+/** Runs the engine planner on the leader whenever something has changed, and commits its decisions. */
 
-/** Time also passes when nothing changes; drains and silences are noticed this much late at most. */
+/** Interval of regular steps. The passage of time alone triggers no event, so drains and silences are noticed at most this late. */
 const interval: Milliseconds = 200;
-/** After a commit that failed the next try waits this long, so that a leader without a quorum does not spin. */
+/** Delay after a failed commit, so that a leader without a quorum does not retry in a tight loop. */
 const retryDelay: Milliseconds = 100;
 
 /** Options of the loop. */
@@ -32,16 +32,16 @@
   readonly submitter: CommandSubmitter;
   readonly readState: () => ControlState;
   readonly readEngines: () => ReadonlyMap<string, EngineView>;
-  /** Requests that want to run at one moment, by model. */
+  /** Concurrent requests by model. */
   readonly readDemand: () => ReadonlyMap<string, number>;
-  /** Whether that is the demand of all gateways, not of the first that reported. */
+  /** Whether the demand includes all gateways, not only the first that reported. */
   readonly isDemandSettled: () => boolean;
   readonly metrics: EngineMetrics;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** A phase of a group and since when this host has known it. */
+/** Phase of a group, and since when this host has seen it. */
 interface KnownPhase {
   readonly phase: string;
   readonly since: Milliseconds;
@@ -50,15 +50,15 @@
 export class EngineLoop {
   readonly #options: EngineLoopOptions;
   #phases = new Map<string, KnownPhase>();
-  readonly #loads = new LoadBudget();
+  readonly #loadBudget = new LoadBudget();
   #staging = new Map<string, string>();
   readonly #settling = new Settling();
   readonly #pacing = new PlanPacing();
   #hasTraffic = false;
-  #isDue = false;
+  #isScheduled = false;
   #isCommitting = false;
   #timer: NodeJS.Timeout | undefined;
-  #rest: NodeJS.Timeout | undefined;
+  #delayTimer: NodeJS.Timeout | undefined;
 
   constructor(options: EngineLoopOptions) {
     this.#options = options;
@@ -72,36 +72,43 @@
 
   close(): void {
     clearInterval(this.#timer);
-    clearTimeout(this.#rest);
+    clearTimeout(this.#delayTimer);
     this.#timer = undefined;
   }
 
-  /** Another host leads: forgets what it knew as leader. A host that finds groups placed takes it that there is traffic. */
-  restart(): void {
+  /**
+   * Drops what this host knew as leader. Called when the leader changes. If groups are already placed, it assumes that there is
+   * traffic.
+   */
+  resetLeaderState(): void {
     this.#phases = new Map();
     this.#staging = new Map();
     this.#hasTraffic ||= this.#options.readState().routing.engineGroups.size > 0;
   }
 
-  /** Something may have changed; several calls before the next plan may be made lead to one step. */
+  /** Schedules a step because something may have changed. Several calls before the next plan is allowed result in one step. */
   notify(): void {
-    if (this.#isDue || this.#timer === undefined || this.#options.log.view().type !== 'leader') {
+    if (
+      this.#isScheduled ||
+      this.#timer === undefined ||
+      this.#options.log.view().type !== 'leader'
+    ) {
       return;
     }
-    this.#isDue = true;
+    this.#isScheduled = true;
     const step = (): void => {
-      this.#isDue = false;
+      this.#isScheduled = false;
       void this.#step();
     };
-    const rest = this.#pacing.findRest(this.#options.clock.monotonic());
+    const rest = this.#pacing.findDelay(this.#options.clock.monotonic());
     if (rest === 0) {
       setImmediate(step);
     } else {
-      this.#rest = setTimeout(step, rest);
+      this.#delayTimer = setTimeout(step, rest);
     }
   }
 
-  /** Model that the host is to stage now. */
+  /** Model that the host should stage now. */
   findStaging(host: string): string | undefined {
     return this.#staging.get(host);
   }
@@ -113,14 +120,14 @@
     }
     const state = readState();
     const startedAt = clock.monotonic();
-    const input = this.#describe(state);
+    const input = this.#createInput(state);
     if (input === undefined) {
       return;
     }
-    this.#options.metrics.noteInput(input);
+    this.#options.metrics.recordInput(input);
     const decision = planEngineGroups(input);
     this.#noteStaging(decision, input);
-    this.#pacing.notePlan(startedAt, clock.monotonic());
+    this.#pacing.recordPlan(startedAt, clock.monotonic());
     if (decision.place.length + decision.advance.length + decision.remove.length === 0) {
       return;
     }
@@ -136,7 +143,7 @@
     }
   }
 
-  #describe(state: ControlState): PlannerInput | undefined {
+  #createInput(state: ControlState): PlannerInput | undefined {
     const { document, engineGroups } = state.routing;
     if (document === undefined) {
       return undefined;
@@ -145,7 +152,7 @@
     const engines = this.#options.readEngines();
     const demand = this.#options.readDemand();
     const isDemandSettled = this.#options.isDemandSettled();
-    // Not by what runs at engines: a liveness check takes a slot there, long before the first request.
+    // Not derived from the requests running on engines: a liveness check occupies a slot there long before the first request.
     this.#hasTraffic ||= demand.size > 0;
     if (this.#hasTraffic) {
       this.#settling.end();
@@ -173,11 +180,11 @@
     if (profile === undefined) {
       return 0;
     }
-    this.#loads.settle(({ host, model }) => mayBeLoading(engines.get(host), model));
-    return this.#loads.countAllowed(profile, now);
+    this.#loadBudget.settle(({ host, model }) => mayBeLoading(engines.get(host), model));
+    return this.#loadBudget.countAllowed(profile, now);
   }
 
-  /** Groups that are gone are forgotten with it. */
+  /** Also drops the phases of removed groups. */
   #describeGroups(groups: readonly EngineGroup[], now: Milliseconds): readonly GroupView[] {
     const before = this.#phases;
     this.#phases = new Map(
@@ -191,14 +198,14 @@
     });
   }
 
-  /** Loads that are ordered count against the budget from now on, whether or not they have begun. */
+  /** Ordered loads count against the budget from now on, whether or not they have started. */
   #noteStaging(decision: EngineDecision, input: PlannerInput): void {
     const now = this.#options.clock.monotonic();
     const ordered = new Map(decision.stage.map(({ host, model }) => [host, model]));
     if (input.hasTraffic) {
       for (const [host, model] of ordered) {
         if (this.#staging.get(host) !== model) {
-          this.#loads.note({ host, model }, now);
+          this.#loadBudget.note({ host, model }, now);
         }
       }
     }
@@ -208,7 +215,7 @@
   async #commit(decision: EngineDecision, input: PlannerInput, basedOn: number): Promise<boolean> {
     const { submitter, logger } = this.#options;
     const { place, advance, remove } = decision;
-    const result = await submitter.proposeHere({
+    const result = await submitter.proposeLocally({
       type: 'planEngineGroups',
       at: 0,
       basedOn,
@@ -217,7 +224,7 @@
       remove: remove.map(({ name }) => name),
     });
     const isCommitted = result.ok && result.val.type !== 'refused';
-    this.#options.metrics.noteDecision(decision, input, isCommitted);
+    this.#options.metrics.recordDecision(decision, input, isCommitted);
     logger.info(
       { basedOn, ...describeDecision(decision, input), isCommitted },
       'engine groups planned',
@@ -227,8 +234,9 @@
 }
 
 /**
- * Whether the engine of a host may still be loading the model. One of which nothing is known may: taken for done, its load made room for
- * another beside it, and loads that share the store take longer. A host that was never heard of is not waited for.
+ * Whether the engine of a host may still be loading the model. An engine whose state is unknown may be: if its load were taken as
+ * finished, another load would be allowed beside it, and concurrent loads from the store take longer. A host that has never reported
+ * is not waited for.
  */
 function mayBeLoading(view: EngineView | undefined, model: string): boolean {
   const standing = judgeEngine(view);
@@ -243,7 +251,7 @@
   }
 }
 
-/** Instances that said that they are leaving, or are known to be gone though their engines may still answer. */
+/** Instances that announced that they are leaving, or are known to have ended although their engines may still respond. */
 function listLeaving({ instances, departed }: RoutingState): InstanceSet {
   return new InstanceSet([
     ...[...instances.values()].filter(({ isDraining }) => isDraining),
--- a/src/control/routing/engine-metrics.ts
+++ b/src/control/routing/engine-metrics.ts
@@ -2,11 +2,11 @@
 
 import type { EngineDecision, PlannerInput } from '../../engines/index.js';
 
-/** What the leader of control counts of engine groups; docs/METRICS.md lists the names. */
+/** Metrics of the control leader about engine groups; docs/METRICS.md lists the names. */
 export class EngineMetrics {
   readonly #decisions: Counter<'result'>;
-  readonly #lost: Counter<'model'>;
-  /** What the last decision was made from; the gauges are made of it when somebody asks, not several times a second. */
+  readonly #closing: Counter<'model'>;
+  /** Input of the last decision. The gauges are computed from it when they are collected, not at each of several decisions a second. */
   #input: PlannerInput | undefined;
 
   constructor(registry: Registry) {
@@ -17,7 +17,7 @@
       labelNames: ['result'],
       registers,
     });
-    this.#lost = new Counter({
+    this.#closing = new Counter({
       name: 'pistachiospoke_groups_closing_total',
       help: 'Groups of engines that were ordered to close, by model.',
       labelNames: ['model'],
@@ -48,12 +48,12 @@
     });
   }
 
-  /** Taken before each decision. */
-  noteInput(input: PlannerInput): void {
+  /** Called before each decision. */
+  recordInput(input: PlannerInput): void {
     this.#input = input;
   }
 
-  noteDecision({ advance }: EngineDecision, input: PlannerInput, isCommitted: boolean): void {
+  recordDecision({ advance }: EngineDecision, input: PlannerInput, isCommitted: boolean): void {
     this.#decisions.inc({ result: isCommitted ? 'committed' : 'failed' });
     if (!isCommitted) {
       return;
@@ -62,7 +62,7 @@
       advance.filter(({ phase }) => phase === 'closing').map(({ name }) => name),
     );
     for (const { group } of input.groups.filter((view) => closing.has(view.group.name))) {
-      this.#lost.inc({ model: group.model });
+      this.#closing.inc({ model: group.model });
     }
   }
 }
--- a/src/control/routing/engine-report-service.ts
+++ b/src/control/routing/engine-report-service.ts
@@ -14,16 +14,16 @@
 import type { CommandAnswer } from '../state/index.js';
 import { EngineDirectory, type ReceivedReport } from './engine-directory.js';
 
-/** Takes the reports of sidecars on their engines, on the leader. */
+/** Receives the engine reports of sidecars, on the leader. */
 
 /** Options of the service. */
 export interface EngineReportServiceOptions {
   readonly log: ReplicatedLog<CommandAnswer>;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Called after each report that says something new. */
+  /** Called after each report that changes something. */
   readonly onChange: () => void;
-  /** Model that the host is to stage now; undefined for none. */
+  /** Model that the host should stage now; undefined for none. */
   readonly findStaging: (host: string) => string | undefined;
 }
 
@@ -35,7 +35,7 @@
     this.#options = options;
   }
 
-  describe(): ReadonlyMap<string, EngineView> {
+  describeEngines(): ReadonlyMap<string, EngineView> {
     return this.#directory.describe(this.#options.clock.monotonic());
   }
 
@@ -43,8 +43,8 @@
     this.#directory.clear();
   }
 
-  /** Handles one sidecar's stream until it ends; answers each report. */
-  async *takeStream(messages: AsyncIterable<EngineReport>): AsyncGenerator<EngineReportAnswer> {
+  /** Handles the stream of one sidecar until it ends; answers each report. */
+  async *handleStream(messages: AsyncIterable<EngineReport>): AsyncGenerator<EngineReportAnswer> {
     for await (const message of messages) {
       if (this.#options.log.view().type !== 'leader') {
         throw new ConnectError('this control host is not the leader', Code.FailedPrecondition);
@@ -52,7 +52,7 @@
       const report = decodeReport(message);
       const verdict = this.#directory.take(report, this.#options.clock.monotonic());
       if (verdict === 'factsMissing') {
-        // The sidecar sends its facts first on every stream, so a new stream mends what is missing.
+        // A sidecar sends its facts first on every stream, so reconnecting supplies the missing facts.
         throw new ConnectError('facts of this host are not known here', Code.FailedPrecondition);
       }
       if (verdict === 'changed') {
--- a/src/control/routing/index.ts
+++ b/src/control/routing/index.ts
@@ -1,13 +1,17 @@
-export { DemandBook } from './demand-book.js';
+export { DemandEstimator } from './demand-estimator.js';
 export {
   EngineDirectory,
   type EngineReportVerdict,
   type ReceivedReport,
 } from './engine-directory.js';
-export { InstanceBook, type AnnouncementVerdict, type InstanceChanges } from './instance-book.js';
+export {
+  InstanceTracker,
+  type AnnouncementVerdict,
+  type InstanceChanges,
+} from './instance-tracker.js';
 export { InstanceRecorder } from './instance-recorder.js';
 export { LoadBudget } from './load-budget.js';
 export { PermitBook, type PermitAnswer, type PermitRequest } from './permit-book.js';
 export { PlanPacing } from './plan-pacing.js';
 export { RoutingControl, type RoutingControlOptions } from './routing-control.js';
-export { RoutingHub, type ControlSign } from './routing-hub.js';
+export { RoutingHub, type ControlStatus } from './routing-hub.js';
--- a/src/control/routing/instance-recorder.ts
+++ b/src/control/routing/instance-recorder.ts
@@ -2,14 +2,14 @@
 
 import type { Failure } from '../../common/index.js';
 import { CommandBatcher, type CommandProposer } from './command-batcher.js';
-import type { InstanceChanges } from './instance-book.js';
+import type { InstanceChanges } from './instance-tracker.js';
 
-/** Brings what the leader learned of instances into the log. */
+/** Writes instance changes from the leader to the replicated log. */
 
 /**
- * Records changes of instances; those that come while one is under way share the next entry.
- * When hundreds of instances announce themselves at once, an entry for each would be written, sent, applied and told to every watcher one by
- * one, and the last of them would wait for all the others.
+ * Records instance changes; changes that arrive while an entry is being committed share the next one.
+ * When hundreds of instances announce themselves at once, one entry per instance would be written, sent, applied and published to
+ * every watcher one after another, and the last instance would wait for all the others.
  */
 export class InstanceRecorder {
   readonly #batcher: CommandBatcher<InstanceChanges>;
@@ -22,13 +22,16 @@
     }));
   }
 
-  /** Resolves once the changes are committed, or it is known that they may not be. */
+  /** Resolves when the changes are committed, or fails if their commit cannot be confirmed. */
   record(changes: InstanceChanges): Promise<Result<undefined, Failure>> {
     return this.#batcher.propose(changes);
   }
 }
 
-/** In the order in which they came. Who left stays gone, whatever else the entry says of it; who was only silent and spoke is there. */
+/**
+ * Keeps the order of arrival. An instance that left stays removed, whatever else the entry says of it; a silent instance that
+ * announced itself again is present.
+ */
 function mergeChanges(all: readonly InstanceChanges[]): InstanceChanges {
   return {
     present: all.flatMap(({ present }) => present),
--- a/src/control/routing/instance-standing.ts
+++ b/src/control/routing/instance-standing.ts
@@ -6,18 +6,19 @@
 } from '../../routing/index.js';
 import type { RoutingState } from '../state/index.js';
 
-/** Compares a start that speaks with what is recorded under its id and at its address. */
+/** Compares the start in an announcement with what is recorded for its id and address. */
 
 /**
- * How a start stands to what is recorded. `present`: it is the one that is there, or the last one, that was only silent.
- * `newer`: it began after all that are known under its id. `over`: it left. `doubtful`: it was replaced, or one that began
- * later is known. `startMissing`: it names no start, and the instance of this id does.
+ * Relation of a start to the recorded ones. `present`: it is the current start, or the last one, which was removed only for silence.
+ * `newer`: it began after all known starts of its id. `over`: it left. `doubtful`: it was replaced, or a later start is known.
+ * `startMissing`: it has no start time, but the recorded instance with its id does.
  */
 export type StartStanding = 'present' | 'newer' | 'over' | 'doubtful' | 'startMissing';
 
 /**
- * Of two starts under one id the one that names the later time is the newer one. Sequences do not tell, since each start counts
- * anew, and neither does the order of arrival: what a partition held back arrives after what was sent later.
+ * Of two starts with the same id, the one with the later start time is newer. Sequence numbers cannot decide this, because each start
+ * counts from the beginning. Neither can the order of arrival: announcements delayed by a partition arrive after ones that were sent
+ * later.
  */
 export function compareToKnown(instance: Instance, state: RoutingState): StartStanding {
   const departures = state.departed.filter(({ id }) => id === instance.id);
@@ -34,7 +35,7 @@
     return 'newer';
   }
   if (instance.startedAt === undefined) {
-    return latest.startedAt === undefined ? compareUnnamed(departure) : 'startMissing';
+    return latest.startedAt === undefined ? compareWithoutStart(departure) : 'startMissing';
   }
   const isEarlier = latest.startedAt !== undefined && instance.startedAt < latest.startedAt;
   if (isEarlier || departure?.reason === 'replaced') {
@@ -43,8 +44,8 @@
   return departure === undefined ? 'newer' : 'present';
 }
 
-/** The instances that would be replaced by this one: under its id, and at its address. */
-export function findHolders(
+/** Instances that this one would replace: those with the same id or the same address. */
+export function findConflicting(
   instance: Instance,
   { instances }: RoutingState,
 ): readonly InstanceIdentity[] {
@@ -55,8 +56,8 @@
   );
 }
 
-/** Where no starts are named, a restart has another id: this is the one that departed, or one that is new. */
-function compareUnnamed(departure: DepartedInstance | undefined): StartStanding {
+/** Without start times, a restarted instance has a new id, so this is either the departed instance itself or a new one. */
+function compareWithoutStart(departure: DepartedInstance | undefined): StartStanding {
   return departure?.reason === 'replaced' ? 'doubtful' : 'present';
 }
 
--- a/src/control/routing/leader-calls.ts
+++ b/src/control/routing/leader-client.ts
@@ -11,12 +11,12 @@
 import type { Announcement } from '../../routing/index.js';
 import type { RpcClientPool } from '../../wire/index.js';
 
-/** Hands calls of operators and instances on to the leader. */
+/** Forwards calls of operators and instances to the leader. */
 
 const callTimeout: Milliseconds = 1500;
 
-/** Options of the calls. */
-export interface LeaderCallsOptions {
+/** Options of the leader client. */
+export interface LeaderClientOptions {
   readonly clients: RpcClientPool;
   readonly findAddress: (name: string) => string | undefined;
 }
@@ -26,14 +26,14 @@
   readonly message: string;
 }
 
-export class LeaderCalls {
-  readonly #options: LeaderCallsOptions;
+export class LeaderClient {
+  readonly #options: LeaderClientOptions;
 
-  constructor(options: LeaderCallsOptions) {
+  constructor(options: LeaderClientOptions) {
     this.#options = options;
   }
 
-  /** The operator's text of the document in force, from the leader. */
+  /** Reads the operator's source text of the active document from the leader. */
   async read(leader: string | undefined): Promise<Result<string, Failure>> {
     const client = this.#findClient(leader);
     if (client === undefined) {
@@ -41,13 +41,13 @@
     }
     try {
       const answer = await client.read({}, { timeoutMs: callTimeout });
-      return describeAnswer(answer).map(() => answer.source);
+      return decodeAnswer(answer).map(() => answer.source);
     } catch (error) {
       return new Err(createFailure('notFresh', String(error)));
     }
   }
 
-  /** An announcement of an instance, recorded by the leader. */
+  /** Forwards an announcement of an instance to the leader, which records it. */
   async announce(
     leader: string | undefined,
     announcement: Announcement,
@@ -58,11 +58,11 @@
     }
     try {
       const text = JSON.stringify(announcement);
-      return describeAnswer(
+      return decodeAnswer(
         await client.announce({ announcement: text }, { timeoutMs: callTimeout }),
       );
     } catch (error) {
-      // The leader may have recorded it before the connection broke.
+      // The leader may have recorded it before the connection failed.
       return new Err(createFailure('changeUncertain', String(error)));
     }
   }
@@ -74,7 +74,7 @@
   }
 }
 
-function describeAnswer({ resultCode, message }: CallAnswer): Result<undefined, Failure> {
+function decodeAnswer({ resultCode, message }: CallAnswer): Result<undefined, Failure> {
   return resultCode === resultCodes.ok.number
     ? new Ok(undefined)
     : new Err(createFailure(findResultCodeName(resultCode), message));
--- a/src/control/routing/load-budget.ts
+++ b/src/control/routing/load-budget.ts
@@ -1,59 +1,59 @@
 import type { Milliseconds } from '../../common/index.js';
 import type { EngineProfile } from '../../routing/index.js';
 
-/** Loads from the weight store that the leader may still order; free of I/O. */
+/** Limits how many model loads from the weight store the leader may order; free of I/O. */
 
-/** The window over which the rate of the store is kept. */
-const window: Milliseconds = 5000;
+/** Window over which the load rate of the store is limited. */
+const rateWindow: Milliseconds = 5000;
 /**
- * A load that has not ended after this many times its declared duration is forgotten: its order, or the word of its end, was lost. Loads that share
- * the store beyond what it gives at full speed take longer than declared.
+ * A load that has not finished after this multiple of its declared duration is dropped, because its order or the report of its end was
+ * lost. Loads take longer than declared when together they need more than the full bandwidth of the store.
  */
-const longestShare = 1.5;
+const maxDurationFactor = 1.5;
 
-/** A load that was ordered. */
+/** An ordered load. */
 export interface OrderedLoad {
   readonly host: string;
   readonly model: string;
 }
 
-interface BegunLoad extends OrderedLoad {
+interface StartedLoad extends OrderedLoad {
   readonly at: Milliseconds;
-  isOver: boolean;
+  isFinished: boolean;
 }
 
 export class LoadBudget {
-  #begun: readonly BegunLoad[] = [];
+  #started: readonly StartedLoad[] = [];
 
-  /** A load was ordered. */
+  /** Records an ordered load. */
   note(load: OrderedLoad, now: Milliseconds): void {
-    this.#begun = [...this.#begun, { ...load, at: now, isOver: false }];
+    this.#started = [...this.#started, { ...load, at: now, isFinished: false }];
   }
 
   /**
-   * Takes out what has ended. Taken for under way for a fixed time instead, loads that are over, or whose engine is lost, would keep empty
-   * engines waiting for theirs.
+   * Marks loads that have finished. If loads were counted for a fixed time instead, finished loads and loads of lost engines would
+   * delay the loads of empty engines.
    */
-  settle(isUnderWay: (load: OrderedLoad) => boolean): void {
-    for (const load of this.#begun) {
-      load.isOver ||= !isUnderWay(load);
+  settle(isLoading: (load: OrderedLoad) => boolean): void {
+    for (const load of this.#started) {
+      load.isFinished ||= !isLoading(load);
     }
   }
 
-  /** Loads that may be ordered now. More at once would make each of them proportionally longer. */
+  /** Number of loads that may be ordered now. More concurrent loads would slow each of them down proportionally. */
   countAllowed(profile: EngineProfile, now: Milliseconds): number {
     const { loadsPerSecond, concurrentLoads } = profile;
-    this.#begun = this.#begun.filter(({ at, model, isOver }) => {
-      return now - at < window || (!isOver && now - at < findLongest(profile, model));
+    this.#started = this.#started.filter(({ at, model, isFinished }) => {
+      return now - at < rateWindow || (!isFinished && now - at < findMaxDuration(profile, model));
     });
-    const underWay = this.#begun.filter(({ isOver }) => !isOver).length;
-    const recent = this.#begun.filter(({ at }) => now - at < window).length;
-    const byRate = Math.floor((loadsPerSecond * window) / 1000) - recent;
-    return Math.max(0, Math.min(byRate, concurrentLoads - underWay));
+    const loading = this.#started.filter(({ isFinished }) => !isFinished).length;
+    const recent = this.#started.filter(({ at }) => now - at < rateWindow).length;
+    const byRate = Math.floor((loadsPerSecond * rateWindow) / 1000) - recent;
+    return Math.max(0, Math.min(byRate, concurrentLoads - loading));
   }
 }
 
-function findLongest({ models }: EngineProfile, name: string): Milliseconds {
+function findMaxDuration({ models }: EngineProfile, name: string): Milliseconds {
   const model = models.find((each) => each.name === name);
-  return (model?.loadDuration ?? 0) * longestShare;
+  return (model?.loadDuration ?? 0) * maxDurationFactor;
 }
--- a/src/control/routing/plan-pacing.ts
+++ b/src/control/routing/plan-pacing.ts
@@ -1,26 +1,27 @@
 import type { Milliseconds } from '../../common/index.js';
 
-/** Tells when the next plan may be made; free of I/O. */
+/** Decides when the next plan may be made; free of I/O. */
 
-/** Planning takes at most this part of the leader's time. */
-const largestShare = 0.2;
+/** Largest share of the leader's time that planning may take. */
+const maxPlanningShare = 0.2;
 
 /**
- * Rests between plans, the longer the more a plan costs.
- * A plan looks at all engines, so what it costs grows with them, and so does how often one is asked for. A leader that made one for each report
- * would have no time left for heartbeats of the log: one would notice a leader that changes while no host is lost.
+ * Adds a delay after each plan in proportion to its duration.
+ * A plan examines all engines, so both its cost and the frequency of requests for one grow with the number of engines. A leader that
+ * planned after every report would have no time for the heartbeats of the replicated log, and the leadership would change although no
+ * host failed.
  */
 export class PlanPacing {
   #nextAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** A plan was made between these two readings of the clock. */
-  notePlan(startedAt: Milliseconds, endedAt: Milliseconds): void {
+  /** Records when a plan started and ended. */
+  recordPlan(startedAt: Milliseconds, endedAt: Milliseconds): void {
     const duration = endedAt - startedAt;
-    this.#nextAt = endedAt + duration * (1 / largestShare - 1);
+    this.#nextAt = endedAt + duration * (1 / maxPlanningShare - 1);
   }
 
-  /** Time until the next plan may be made; 0 for now. */
-  findRest(now: Milliseconds): Milliseconds {
+  /** Time until the next plan may be made; 0 if it may be made now. */
+  findDelay(now: Milliseconds): Milliseconds {
     return Math.max(0, this.#nextAt - now);
   }
 }
--- a/src/control/routing/routing-control.ts
+++ b/src/control/routing/routing-control.ts
@@ -38,26 +38,26 @@
 import type { CommandSubmitter } from '../shell/command-submitter.js';
 import type { CommandAnswer, ControlState } from '../state/index.js';
 import { CrashRecorder } from './crash-recorder.js';
-import { DemandBook } from './demand-book.js';
+import { DemandEstimator } from './demand-estimator.js';
 import { EngineLoop } from './engine-loop.js';
 import { EngineMetrics } from './engine-metrics.js';
 import { EngineReportService } from './engine-report-service.js';
-import { InstanceBook } from './instance-book.js';
+import { InstanceTracker } from './instance-tracker.js';
 import { InstanceRecorder } from './instance-recorder.js';
-import { LeaderCalls } from './leader-calls.js';
+import { LeaderClient } from './leader-client.js';
 import { PermitBook } from './permit-book.js';
-import { RoutingHub, type ControlSign } from './routing-hub.js';
+import { RoutingHub, type ControlStatus } from './routing-hub.js';
 
-/** Routing on a control host: documents of operators, announcements of instances, groups of engines, and their watches. */
+/** Routing on a control host: routing documents, instance announcements, engine groups, and watches. */
 
-/** A control host that was not up to date with a quorum for this long tells its watchers so. */
+/** A control host that has not been up to date with a quorum for this long reports itself as not fresh. */
 const freshnessLimit: Milliseconds = 1500;
-/** Between two signs of life to watchers; also how often the leader looks for silent instances. */
-const signInterval: Milliseconds = 500;
-/** Lines about announcements that could not be used: whoever writes them may do so many times a second. */
-const unusableLines = { burst: 20, perSecond: 1 };
-/** Characters of such an announcement that are logged: enough to tell who writes it. */
-const loggedText = 200;
+/** Interval of status messages to watchers; also how often the leader checks for silent instances. */
+const statusInterval: Milliseconds = 500;
+/** Limit for log lines about unusable announcements, since their sender may repeat them many times a second. */
+const unusableLogLimit = { burst: 20, perSecond: 1 };
+/** Number of characters of an unusable announcement that are logged, enough to identify its sender. */
+const maxLoggedCharacters = 200;
 
 /** Options of routing on a control host. */
 export interface RoutingControlOptions {
@@ -70,9 +70,9 @@
   readonly findAddress: (name: string) => string | undefined;
   readonly listVoters: () => readonly string[];
   readonly readState: () => ControlState;
-  /** An instance that is not heard of for this long gets no new requests. */
+  /** An instance that has not announced itself for this long gets no new requests. */
   readonly instanceSilence: Milliseconds;
-  /** Where it counts what the page of metrics shows. */
+  /** Registry for the metrics page. */
   readonly registry: Registry;
 }
 
@@ -80,22 +80,22 @@
   readonly name = 'routing';
   readonly #options: RoutingControlOptions;
   readonly #hub = new RoutingHub();
-  readonly #book = new InstanceBook();
+  readonly #instances = new InstanceTracker();
   readonly #recorder: InstanceRecorder;
   readonly #crashes: CrashRecorder;
-  readonly #demand = new DemandBook();
+  readonly #demand = new DemandEstimator();
   readonly #permits = new PermitBook();
   readonly #reports: EngineReportService;
-  readonly #calls: LeaderCalls;
+  readonly #leaderClient: LeaderClient;
   readonly #engines: EngineLoop;
-  readonly #unusable: BoundedLog;
+  readonly #unusableLog: BoundedLog;
   readonly #unusableCount: Counter;
   #timer: NodeJS.Timeout | undefined;
   #leader = '';
 
   constructor(options: RoutingControlOptions) {
     this.#options = options;
-    this.#unusable = new BoundedLog(options.logger, options.clock, unusableLines);
+    this.#unusableLog = new BoundedLog(options.logger, options.clock, unusableLogLimit);
     this.#unusableCount = new Counter({
       name: 'pistachiospoke_announcements_unusable_total',
       help: 'Announcements that named no instance to use and changed nothing.',
@@ -103,11 +103,11 @@
     });
     this.#recorder = new InstanceRecorder(options.submitter);
     this.#crashes = new CrashRecorder(options);
-    this.#calls = new LeaderCalls(options);
+    this.#leaderClient = new LeaderClient(options);
     this.#engines = new EngineLoop({
       ...options,
       metrics: new EngineMetrics(options.registry),
-      readEngines: () => this.#reports.describe(),
+      readEngines: () => this.#reports.describeEngines(),
       readDemand: () => this.#demand.estimate(options.clock.monotonic()),
       isDemandSettled: () => this.#demand.isSettled(options.clock.monotonic()),
     });
@@ -122,11 +122,11 @@
 
   open(): void {
     this.#timer = setInterval(() => {
-      this.#hub.sendSign(this.#describeSign());
-      this.#retireSilent();
+      this.#hub.sendSign(this.#describeStatus());
+      this.#removeSilent();
       this.#crashes.expire();
       this.#permits.retain(listIdentities(this.#options.readState().routing));
-    }, signInterval);
+    }, statusInterval);
     this.#engines.open();
   }
 
@@ -139,44 +139,44 @@
   register(router: ConnectRouter): void {
     router.service(RoutingService, {
       watch: (request) => this.#watch(request),
-      reportEngine: (reports) => this.#reports.takeStream(reports),
-      reportDemand: (report) => this.#takeDemand(report),
+      reportEngine: (reports) => this.#reports.handleStream(reports),
+      reportDemand: (report) => this.#handleDemandReport(report),
       reportCrashes: async (report) => {
         return encodeOutcome(findFailure(await this.#crashes.record(report)));
       },
       announce: async ({ announcement }) => {
-        const result = await this.#takeForwarded(announcement);
+        const result = await this.#handleForwarded(announcement);
         return encodeOutcome(findFailure(result));
       },
       read: async () => {
-        const result = await this.#readHere();
+        const result = await this.#readLocally();
         return { ...encodeOutcome(findFailure(result)), source: result.ok ? result.val : '' };
       },
     });
   }
 
-  /** Called after each command of the log. */
-  noteState(state: ControlState): void {
+  /** Called after each applied command. */
+  handleStateChange(state: ControlState): void {
     this.#hub.publish(state.index, state.routing);
     this.#engines.notify();
   }
 
-  /** Called when the leader changes: watchers find it at once, and what this host knew as leader is dropped. */
-  noteLeadership(): void {
-    const sign = this.#describeSign();
-    if (sign.leader === this.#leader) {
+  /** Called when the leader changes: notifies watchers at once and drops what this host knew as leader. */
+  handleLeadershipChange(): void {
+    const status = this.#describeStatus();
+    if (status.leader === this.#leader) {
       return;
     }
-    this.#leader = sign.leader;
-    this.#book.clear();
+    this.#leader = status.leader;
+    this.#instances.clear();
     this.#reports.clear();
     this.#demand.clear();
     this.#permits.clear();
-    this.#engines.restart();
-    this.#hub.sendSign(sign);
+    this.#engines.resetLeaderState();
+    this.#hub.sendSign(status);
   }
 
-  /** Name of the leader; undefined while there is none. */
+  /** Name of the leader; undefined if there is none. */
   get leaderName(): string | undefined {
     const view = this.#options.log.view();
     switch (view.type) {
@@ -193,43 +193,47 @@
     return this.leaderName === this.#options.name;
   }
 
-  /** Takes an operator's document; resolves with the version in force once it is committed. */
+  /** Submits an operator's document; resolves with the active version once it is committed. */
   async put(value: unknown): Promise<Result<number, Failure>> {
     const checked = checkRoutingDocument(value);
     return checked.err ? checked : this.#submitDocument(checked.val);
   }
 
-  /** The operator's text of the document in force, never a stale one; `notFresh` where that cannot be told. */
+  /** Reads the operator's source text of the active document, never a stale one; fails with `notFresh` if freshness cannot be confirmed. */
   async read(): Promise<Result<string, Failure>> {
     const leader = this.leaderName;
     if (leader === this.#options.name) {
-      return this.#readHere();
+      return this.#readLocally();
     }
-    return this.#calls.read(leader);
+    return this.#leaderClient.read(leader);
   }
 
-  /** Takes what an instance says of itself; resolves once it is recorded, so that it may be told so. */
+  /** Handles an announcement of an instance; resolves once it is recorded, so that the instance can be told. */
   async announce(announcement: Announcement): Promise<Result<undefined, Failure>> {
     const leader = this.leaderName;
     if (leader === this.#options.name) {
-      return this.#announceHere(announcement);
+      return this.#announceLocally(announcement);
     }
-    return this.#calls.announce(leader, announcement);
+    return this.#leaderClient.announce(leader, announcement);
   }
 
-  /** Notes an announcement that names no instance to use; answers the failure that its writer is told. */
+  /** Counts and logs an unusable announcement; returns the failure for its sender. */
   refuseAnnouncement(id: string, reason: string, text: string): Failure {
     this.#unusableCount.inc();
-    const fields = { id: id.slice(0, loggedText), reason, text: text.slice(0, loggedText) };
-    this.#unusable.note(fields, 'announcement not usable');
+    const fields = {
+      id: id.slice(0, maxLoggedCharacters),
+      reason,
+      text: text.slice(0, maxLoggedCharacters),
+    };
+    this.#unusableLog.note(fields, 'unusable announcement');
     return createFailure('unusableAnnouncement', reason);
   }
 
-  #takeDemand(report: DemandReport): MessageInitShape<typeof DemandAnswerSchema> {
+  #handleDemandReport(report: DemandReport): MessageInitShape<typeof DemandAnswerSchema> {
     const { gateway, requests, limits, wanted, returned } = report;
     const now = this.#options.clock.monotonic();
-    this.#demand.take(gateway, new Map(Object.entries(requests)), now);
-    const granted = this.#permits.answer(
+    this.#demand.recordReport(gateway, new Map(Object.entries(requests)), now);
+    const allocated = this.#permits.answer(
       {
         gateway,
         limits: decodeUpstreamLimits(limits),
@@ -241,8 +245,8 @@
     return {
       gateways: this.#demand.countGateways(now),
       position: this.#demand.findPosition(gateway),
-      limits: encodeUpstreamLimits(granted.limits),
-      permits: Object.fromEntries(granted.permits),
+      limits: encodeUpstreamLimits(allocated.limits),
+      permits: Object.fromEntries(allocated.permits),
     };
   }
 
@@ -250,7 +254,7 @@
     const { watcher, kind } = request;
     const { logger } = this.#options;
     const host = kind === 'sidecar' ? watcher : undefined;
-    const queue = this.#hub.subscribe(Number(request.version), this.#describeSign(), host);
+    const queue = this.#hub.subscribe(Number(request.version), this.#describeStatus(), host);
     logger.info({ watcher, kind }, 'watch opened');
     try {
       yield* queue;
@@ -265,7 +269,7 @@
     const result = await submitter.submit({ type: 'putRouting', at: 0, document });
     const { version } = document;
     if (result.err) {
-      logger.warn({ version, failure: result.val }, 'routing document not accepted');
+      logger.warn({ version, failure: result.val }, 'routing document rejected');
       return result;
     }
     if (result.val.type !== 'routed') {
@@ -275,7 +279,7 @@
     return new Ok(result.val.version);
   }
 
-  async #readHere(): Promise<Result<string, Failure>> {
+  async #readLocally(): Promise<Result<string, Failure>> {
     const confirmed = await this.#options.log.confirmRead();
     if (confirmed.err) {
       return new Err(createFailure('notFresh', confirmed.val.detail));
@@ -286,19 +290,23 @@
       : new Ok(document.source);
   }
 
-  async #takeForwarded(text: string): Promise<Result<undefined, Failure>> {
+  async #handleForwarded(text: string): Promise<Result<undefined, Failure>> {
     const parsed = announcementSchema.safeParse(parseJson(text));
     if (!parsed.success) {
       return new Err(createFailure('invalidCommand', 'not an announcement'));
     }
     return this.#options.log.view().type === 'leader'
-      ? this.#announceHere(parsed.data)
+      ? this.#announceLocally(parsed.data)
       : new Err(createFailure('noQuorum', 'this control host is not the leader'));
   }
 
-  async #announceHere(announcement: Announcement): Promise<Result<undefined, Failure>> {
+  async #announceLocally(announcement: Announcement): Promise<Result<undefined, Failure>> {
     const { readState, clock, logger } = this.#options;
-    const verdict = this.#book.take(announcement, readState().routing, clock.monotonic());
+    const verdict = this.#instances.handleAnnouncement(
+      announcement,
+      readState().routing,
+      clock.monotonic(),
+    );
     switch (verdict.type) {
       case 'known':
         return new Ok(undefined);
@@ -313,26 +321,29 @@
           ),
         );
       case 'record':
-        logger.info({ announcement }, 'instance announced a change');
+        logger.info({ announcement }, 'recording instance announcement');
         return this.#recorder.record(verdict.changes);
     }
   }
 
-  #retireSilent(): void {
+  #removeSilent(): void {
     const { log, clock, readState, instanceSilence, logger } = this.#options;
     if (log.view().type !== 'leader') {
       return;
     }
     const { routing } = readState();
-    const silent = this.#book.findGivenUp(routing, clock.monotonic(), instanceSilence);
+    const silent = this.#instances.findRemovable(routing, clock.monotonic(), instanceSilence);
     if (silent.length === 0) {
       return;
     }
-    logger.warn({ silent: silent.map(formatIdentity), instanceSilence }, 'instances fell silent');
+    logger.warn(
+      { silent: silent.map(formatIdentity), instanceSilence },
+      'removing silent instances',
+    );
     void this.#recorder.record({ present: [], retired: [], silent });
   }
 
-  #describeSign(): ControlSign {
+  #describeStatus(): ControlStatus {
     const { log, findAddress, listVoters } = this.#options;
     const leader = this.leaderName;
     return {
--- a/src/control/routing/routing-hub.ts
+++ b/src/control/routing/routing-hub.ts
@@ -8,14 +8,14 @@
 import { MessageQueue } from '../../wire/index.js';
 import { initialRoutingState, type RoutingState } from '../state/index.js';
 
-/** Sends the routing state to every watcher: what it needs of it once, then changes only. */
+/** Publishes the routing state to watchers: first the part that a watcher needs, then changes. */
 
-/** Messages queued for one watcher before it is cut off and has to connect again. */
+/** Messages queued for one watcher before it is disconnected and has to reconnect. */
 const queueCapacity = 5000;
 
-/** What a control host says of itself to its watchers. */
-export interface ControlSign {
-  /** Whether it was up to date with a quorum lately. */
+/** Status of a control host, sent to its watchers. */
+export interface ControlStatus {
+  /** Whether it was recently up to date with a quorum. */
   readonly isFresh: boolean;
   /** `ip:port` of the leader; empty while there is none. */
   readonly leader: string;
@@ -26,8 +26,8 @@
 type WatchEvent = NonNullable<MessageInitShape<typeof RoutingWatchResponseSchema>['event']>;
 
 /**
- * Who needs an event: everyone, gateways only, or beside them the hosts that are named. A sidecar has no use for documents,
- * instances and the groups of others; sent them all, it spends half of its processor time on reading them.
+ * Recipients of an event: all watchers, gateways only, or gateways and the listed hosts. A sidecar does not need documents, instances
+ * or the groups of other hosts; receiving them took half of its processor time for decoding.
  */
 type Audience = 'everyone' | 'gateways' | readonly string[];
 
@@ -41,15 +41,15 @@
 }
 
 /**
- * Whether a later event of the kind makes an earlier one needless. A document is sent whole, and a sign vouches for what was sent before
- * it. Sent all of them, a watcher that reads slowly would have the newest one only behind all that it has replaced.
+ * Whether only the latest event of this kind matters. A document is sent whole, and a status confirms everything sent before it. If
+ * all of them were sent, a slow watcher would receive the newest only after all those it replaces.
  */
-function isOnlyLatestOfUse({ case: kind }: WatchEvent): boolean {
+function isLatestOnly({ case: kind }: WatchEvent): boolean {
   return kind === 'document' || kind === 'sign';
 }
 
-/** What every gateway is told of one state; put together once for all of them. */
-interface WholeState {
+/** Full state as sent to a new gateway watch; built once for all gateways. */
+interface FullState {
   readonly state: RoutingState;
   readonly document: readonly Change[];
   readonly items: readonly Change[];
@@ -57,18 +57,18 @@
 
 interface Watch {
   readonly queue: MessageQueue<RoutingWatchResponse>;
-  /** The host of a sidecar; undefined for a gateway. */
+  /** Host of a sidecar; undefined for a gateway. */
   readonly host: string | undefined;
 }
 
-/** All routing watches of one control host. */
+/** Manages all routing watches of one control host. */
 export class RoutingHub {
   readonly #watches = new Map<MessageQueue<RoutingWatchResponse>, Watch>();
   #published: RoutingState = initialRoutingState;
   #index = 0;
-  #whole: WholeState | undefined;
+  #fullState: FullState | undefined;
 
-  /** Sends what differs from the last published state. */
+  /** Sends the differences from the last published state. */
   publish(index: number, state: RoutingState): void {
     const changes = listChanges(this.#published, state);
     this.#published = state;
@@ -76,23 +76,23 @@
     this.#send(changes);
   }
 
-  sendSign(sign: ControlSign): void {
-    this.#send([describeSign(sign)]);
+  sendSign(status: ControlStatus): void {
+    this.#send([describeStatus(status)]);
   }
 
-  /** Opens a watch; the queue starts with the whole state, or that of one host, and the sign that vouches for it. */
+  /** Opens a watch. The queue starts with the full state, or that of one host, followed by the status that confirms it. */
   subscribe(
     knownVersion: number,
-    sign: ControlSign,
+    status: ControlStatus,
     host?: string,
   ): MessageQueue<RoutingWatchResponse> {
     const watch = { queue: new MessageQueue<RoutingWatchResponse>(queueCapacity), host };
-    for (const event of this.#listWholeState(watch, knownVersion)) {
-      // The first document stays in its place: the state is whole only behind the document that belongs to it.
+    for (const event of this.#listInitialEvents(watch, knownVersion)) {
+      // The first document is queued without replacement: the state is complete only after the document that it refers to.
       watch.queue.push(encodeEvent(this.#index, event));
     }
-    const { event } = describeSign(sign);
-    push(watch.queue, event, encodeEvent(this.#index, event));
+    const { event } = describeStatus(status);
+    enqueue(watch.queue, event, encodeEvent(this.#index, event));
     this.#watches.set(watch.queue, watch);
     return watch.queue;
   }
@@ -110,39 +110,39 @@
     this.#watches.clear();
   }
 
-  #listWholeState({ host }: Watch, knownVersion: number): readonly WatchEvent[] {
+  #listInitialEvents({ host }: Watch, knownVersion: number): readonly WatchEvent[] {
     const version = this.#published.document?.version ?? 0;
     const synchronized = { case: 'synchronized', value: { version: BigInt(version) } } as const;
     const { document, items } =
       host === undefined
-        ? this.#describeWhole()
-        : { document: [], items: describeGroupsOf(host, this.#published) };
-    const told = version > knownVersion ? [...document, ...items] : items;
-    return [...told.map(({ event }) => event), synchronized];
+        ? this.#describeFullState()
+        : { document: [], items: describeGroupsOfHost(host, this.#published) };
+    const changes = version > knownVersion ? [...document, ...items] : items;
+    return [...changes.map(({ event }) => event), synchronized];
   }
 
-  /** When a control host starts, or leads anew, every gateway connects within a second. */
-  #describeWhole(): WholeState {
-    if (this.#whole?.state !== this.#published) {
-      this.#whole = {
+  /** Cached, because all gateways connect within a second when a control host starts or becomes leader again. */
+  #describeFullState(): FullState {
+    if (this.#fullState?.state !== this.#published) {
+      this.#fullState = {
         state: this.#published,
         document: describeDocument(this.#published),
         items: batchChanges(this.#index, describeItems(this.#published)),
       };
     }
-    return this.#whole;
+    return this.#fullState;
   }
 
   #send(changes: readonly Change[]): void {
     const batched = batchChanges(this.#index, changes);
-    // One message for all: it is encoded once for each watcher only when it is written.
+    // One message object is shared by all watchers; it is encoded for each of them only when it is written.
     const forGateways = batched.map((change) => this.#encode(change));
     const forSidecars = changes.map((change) => this.#encode(change));
     for (const watch of this.#watches.values()) {
       const messages = watch.host === undefined ? forGateways : forSidecars;
       for (const { event, audience, message } of messages) {
-        if (isFor(audience, watch)) {
-          push(watch.queue, event, message);
+        if (isAddressedTo(audience, watch)) {
+          enqueue(watch.queue, event, message);
         }
       }
     }
@@ -154,40 +154,43 @@
 }
 
 /**
- * For gateways, which are told of everything: all that is not only of use in its latest form goes into one message. Hundreds of instances,
- * each in a message of its own to each of tens of gateways, take a leader seconds.
+ * Batches the changes for gateways, which receive everything: all events except those of which only the latest matters go into one
+ * message. Sending hundreds of instances as separate messages to each of tens of gateways takes a leader seconds.
  */
 function batchChanges(index: number, changes: readonly Change[]): readonly Change[] {
-  const items = changes.filter(({ event }) => !isOnlyLatestOfUse(event));
+  const items = changes.filter(({ event }) => !isLatestOnly(event));
   if (items.length < 2) {
     return changes;
   }
   const events = items.map(({ event }) => encodeEvent(index, event));
-  const others = changes.filter(({ event }) => isOnlyLatestOfUse(event));
+  const others = changes.filter(({ event }) => isLatestOnly(event));
   return [...others, { event: { case: 'batch', value: { events } }, audience: 'gateways' }];
 }
 
-function push(
+function enqueue(
   queue: MessageQueue<RoutingWatchResponse>,
   event: WatchEvent,
   message: RoutingWatchResponse,
 ): void {
-  if (isOnlyLatestOfUse(event)) {
+  if (isLatestOnly(event)) {
     queue.pushLatest(event.case ?? '', message);
   } else {
     queue.push(message);
   }
 }
 
-function isFor(audience: Audience, { host }: Watch): boolean {
+function isAddressedTo(audience: Audience, { host }: Watch): boolean {
   if (host === undefined || audience === 'everyone') {
     return true;
   }
   return audience !== 'gateways' && audience.includes(host);
 }
 
-/** Of documents and instances a sidecar is told nothing; put together for each of hundreds that connect at once, they would take a leader seconds. */
-function describeGroupsOf(host: string, { engineGroups }: RoutingState): readonly Change[] {
+/**
+ * A sidecar receives no documents or instances; building them for each of hundreds of sidecars that connect at once would take a
+ * leader seconds.
+ */
+function describeGroupsOfHost(host: string, { engineGroups }: RoutingState): readonly Change[] {
   return [...engineGroups.values()]
     .filter((group) => listHosts(group).includes(host))
     .map(describeGroup);
@@ -260,7 +263,7 @@
   if (document === undefined) {
     return [];
   }
-  // Watchers have no use for the operator's text, which is as large as the rest.
+  // Watchers do not need the operator's source text, which is as large as the rest.
   const value = JSON.stringify({ ...document, source: '' });
   return [{ event: { case: 'document', value }, audience: 'gateways' }];
 }
@@ -283,7 +286,7 @@
   return members.map(({ host }) => host);
 }
 
-function describeSign({ isFresh, leader, voters }: ControlSign): Change {
+function describeStatus({ isFresh, leader, voters }: ControlStatus): Change {
   const value = { fresh: isFresh, leader, voters: [...voters] };
   return { event: { case: 'sign', value }, audience: 'everyone' };
 }
--- a/src/control/shell/command-submitter.ts
+++ b/src/control/shell/command-submitter.ts
@@ -15,11 +15,11 @@
 import type { RpcClientPool } from '../../wire/index.js';
 import { decodeCommandAnswer, type Command, type CommandAnswer } from '../state/index.js';
 
-/** Brings commands to the leader of the replicated log, wherever they came in. */
+/** Submits commands to the leader of the replicated log, whichever control host received them. */
 
 const forwardTimeout: Milliseconds = 5000;
-/** An election takes about this long; coming back sooner meets the same answer. */
-export const retryWithoutQuorum: Milliseconds = 1000;
+/** Retry delay for callers while there is no quorum. An election takes about this long; an earlier retry would get the same answer. */
+export const noQuorumRetryDelay: Milliseconds = 1000;
 
 /** Options of the submitter. */
 export interface CommandSubmitterOptions {
@@ -37,21 +37,21 @@
     this.#options = options;
   }
 
-  /** Proposes here when this host leads, otherwise hands the command to the leader. */
+  /** Proposes locally if this host is the leader, otherwise forwards the command to the leader. */
   async submit(command: Command): Promise<Result<CommandAnswer, Failure>> {
     const view = this.#options.log.view();
     switch (view.type) {
       case 'leader':
-        return this.proposeHere(command);
+        return this.proposeLocally(command);
       case 'follower':
         return this.#forward(command, view.leader);
       case 'leaderless':
-        return new Err(createFailure('noQuorum', 'no leader', retryWithoutQuorum));
+        return new Err(createFailure('noQuorum', 'no leader', noQuorumRetryDelay));
     }
   }
 
-  /** Proposes on this host only; a command is never handed on twice. */
-  proposeHere(command: Command): Promise<Result<CommandAnswer, Failure>> {
+  /** Proposes on this host only. Forwarded commands are handled with it, so that none is forwarded twice. */
+  proposeLocally(command: Command): Promise<Result<CommandAnswer, Failure>> {
     const stamped = { ...command, at: this.#options.clock.wall() };
     return this.#options.log.propose(JSON.stringify(stamped));
   }
@@ -59,7 +59,7 @@
   async #forward(command: Command, leader: string): Promise<Result<CommandAnswer, Failure>> {
     const address = this.#options.findAddress(leader);
     if (address === undefined) {
-      return new Err(createFailure('noQuorum', `leader ${leader} is unknown`, retryWithoutQuorum));
+      return new Err(createFailure('noQuorum', `leader ${leader} is unknown`, noQuorumRetryDelay));
     }
     const client = this.#options.clients.client(ConsensusService, address);
     try {
@@ -69,8 +69,8 @@
       );
       return decodeSubmitResponse(response);
     } catch (error) {
-      // The leader may have taken it before the connection broke, so this is not a definite no.
-      return new Err(createFailure('changeUncertain', String(error), retryWithoutQuorum));
+      // The leader may have received the command before the connection failed, so its outcome is unknown.
+      return new Err(createFailure('changeUncertain', String(error), noQuorumRetryDelay));
     }
   }
 }
--- a/src/control/shell/control-process.ts
+++ b/src/control/shell/control-process.ts
@@ -37,12 +37,12 @@
 import { PlacementLoop } from './placement-loop.js';
 import { ReportService } from './report-service.js';
 import { createControlLog, type ControlLog } from './log.js';
-import { MembershipKeeper } from './membership-keeper.js';
+import { MembershipManager } from './membership-manager.js';
 import type { ViewSource } from './views.js';
 
-/** Puts the parts of a control host together. */
+/** Assembles a control host from its components. */
 
-/** A control host that was not up to date with a quorum for this long tells its watchers so. */
+/** A control host that has not been up to date with a quorum for this long reports itself to its watchers as not fresh. */
 const freshnessLimit: Milliseconds = 2000;
 
 /** Options of a control host. */
@@ -58,7 +58,7 @@
   readonly #directory = new HostDirectory();
   readonly #watchers = new WatcherDirectory();
   readonly #machine = new ControlStateMachine(() => {
-    this.#metrics.noteCommit();
+    this.#metrics.recordCommit();
     this.#publishCommand();
   });
   readonly #registry = new Registry();
@@ -72,9 +72,9 @@
   readonly #observer: HostObserver;
   readonly #reports: ReportService;
   readonly #placement: PlacementLoop;
-  /** What operators' documents, instances and engines make of routing. */
+  /** Routing state from operator documents, instances and engines. */
   readonly routing: RoutingControl;
-  readonly #membership: MembershipKeeper;
+  readonly #membership: MembershipManager;
   #heartbeat: NodeJS.Timeout | undefined;
 
   constructor(options: ControlProcessOptions) {
@@ -83,8 +83,8 @@
     this.#metricsClient = createMetrics(settings.metrics, { control: settings.name });
     this.#metrics = new ControlMetrics(this.#metricsClient);
     const onLeadership = (view: LeadershipView): void => {
-      this.#metrics.noteLeadership(view);
-      this.routing.noteLeadership();
+      this.#metrics.recordLeadership(view);
+      this.routing.handleLeadershipChange();
     };
     this.#log = createControlLog({ settings, machine: this.#machine, clock, logger, onLeadership });
     const shared = { log: this.#log, clients: this.#clients, clock, logger };
@@ -104,16 +104,16 @@
       peers: () => this.#listPeers(),
       directory: this.#directory,
       watchers: this.#watchers,
-      listWatching: () => this.#hub.listWatchers('gateway'),
+      listConnectedGateways: () => this.#hub.listWatchers('gateway'),
       onReport: (report, via) => {
-        this.#observer.noteReport(report, via);
+        this.#observer.handleReport(report, via);
         this.#publish();
       },
       onVerdict: (verdict) => {
-        this.#metrics.noteReport(verdict);
+        this.#metrics.recordReport(verdict);
       },
       onClosed: (host) => {
-        this.#observer.noteClosed(host);
+        this.#observer.handleConnectionClosed(host);
       },
     });
     this.routing = new RoutingControl({
@@ -126,7 +126,7 @@
       instanceSilence: settings.timeouts.instanceSilenceMilliseconds,
       registry: this.#registry,
     });
-    this.#membership = new MembershipKeeper({
+    this.#membership = new MembershipManager({
       ...shared,
       name: settings.name,
       voterCount: countWantedVoters(settings),
@@ -140,12 +140,12 @@
       readState: () => this.#machine.read(),
       observer: this.#observer,
       onPlacement: (isCommitted) => {
-        this.#metrics.notePlacement(isCommitted);
+        this.#metrics.recordPlacement(isCommitted);
       },
     });
   }
 
-  /** Parts in the order in which they open. */
+  /** Components in the order in which they are opened. */
   listParts(): readonly ManagedPart[] {
     const { settings } = this.#options;
     const server = createRpcServer({
@@ -166,7 +166,7 @@
       },
       this.#observer,
       this.#reports,
-      // Before the data folder is touched: a second process on this host fails here, and leaves the folder alone.
+      // Opened before the data folder is accessed, so that a second process on this host fails here without touching the folder.
       server,
       this.#log,
       {
@@ -193,12 +193,12 @@
     this.routing.register(router);
     router.service(ControlService, {
       watch: (request) => this.#watch(request),
-      report: (messages) => this.#reports.takeStream(messages),
+      report: (messages) => this.#reports.handleStream(messages),
       submit: (request) => this.#operators.submit(request.command),
       get: (request, context) => this.#operators.get(request, context),
       acknowledge: ({ watcher }) => {
         if (watcher !== undefined) {
-          this.#reports.takeWatcher(watcher);
+          this.#reports.handleAcknowledgement(watcher);
         }
         return {};
       },
@@ -208,10 +208,10 @@
         await this.#log.takeStream(envelopes);
         return {};
       },
-      admit: (request) => this.#membership.takeRequest(request),
-      forward: (request) => this.#operators.takeForwarded(request.command),
+      admit: (request) => this.#membership.handleAdmitRequest(request),
+      forward: (request) => this.#operators.handleForwarded(request.command),
       forwardReports: (request) => ({
-        missingFacts: [...this.#reports.takeForwarded(request)],
+        missingFacts: [...this.#reports.handleForwarded(request)],
       }),
     });
   }
@@ -232,7 +232,7 @@
     this.#heartbeat = setInterval(() => {
       this.#refreshWatchers();
       const count = (kind: string): number => this.#hub.listWatchers(kind).length;
-      this.#metrics.noteWatchers(count('gateway'), count('sidecar'));
+      this.#metrics.recordWatchers(count('gateway'), count('sidecar'));
       this.#hub.sendHeartbeat(this.#log.staleness() < freshnessLimit);
     }, watchHeartbeatMilliseconds);
   }
@@ -242,10 +242,10 @@
     this.#hub.close();
   }
 
-  /** Most commands are claims, which no watcher sees; listing all groups for each would cost more than applying it. */
+  /** Most commands are claims, which watchers do not see; describing all groups for each of them would cost more than applying it. */
   #publishCommand(): void {
     const { index, revision, groups } = this.#machine.read();
-    this.routing.noteState(this.#machine.read());
+    this.routing.handleStateChange(this.#machine.read());
     if (this.#published.revision === revision && this.#published.groups === groups) {
       this.#hub.advance(index);
       return;
@@ -277,7 +277,7 @@
     };
   }
 
-  /** A gateway that watches here is there now; one whose watch ended grows old in the list. */
+  /** Marks gateways with an open watch as seen now. The entry of a gateway whose watch has ended ages. */
   #refreshWatchers(): void {
     const { settings, clock } = this.#options;
     for (const name of this.#hub.listWatchers('gateway')) {
@@ -285,7 +285,7 @@
     }
   }
 
-  /** Those of the log; before a first start has formed one, those of the settings. */
+  /** Voters of the log, or those of the settings until the first start has formed a membership. */
   #listVoters(): ViewSource['voters'] {
     const voters = this.#log.status?.membership.voters ?? [];
     if (voters.length === 0) {
--- a/src/control/shell/host-observer.ts
+++ b/src/control/shell/host-observer.ts
@@ -18,10 +18,13 @@
   type HostSign,
 } from '../hosts/index.js';
 
-/** Feeds host health with what control hears of the hosts, on every control host, so that a new leader knows them. */
+/** Updates host health from reports, on every control host, so that a new leader already knows the hosts. */
 
-/** Without it a wake in the far future would hide a policy that changed. */
-const longestWait: Milliseconds = 1000;
+/**
+ * Longest time between ticks. Without this limit, a policy change would go unnoticed until the next wake-up, which may be far in the
+ * future.
+ */
+const maxWait: Milliseconds = 1000;
 
 /** Options of the observer. */
 export interface HostObserverOptions {
@@ -35,8 +38,8 @@
   readonly #options: HostObserverOptions;
   readonly #health: HostHealth;
   readonly #groups = new GroupWatch();
-  /** What the last report with facts said of each host; heartbeats carry none. */
-  readonly #known = new Map<HostName, HostSign>();
+  /** State of each host from its last report with facts; heartbeats carry none. */
+  readonly #lastSigns = new Map<HostName, HostSign>();
   #policy: Policy;
   #timer: NodeJS.Timeout | undefined;
   #isOpen = false;
@@ -65,7 +68,7 @@
     return this.#health.availabilityOf(host, this.#now());
   }
 
-  /** Whether the host is there, whatever its upstream does. */
+  /** Whether the host is present, regardless of the state of its upstream. */
   isHeard(host: HostName): boolean {
     return this.#health.isHeard(host, this.#now());
   }
@@ -75,13 +78,13 @@
     return this.#groups.incompleteFor(group, this.#now());
   }
 
-  /** Takes a report that came in at the control host `via`. */
-  noteReport(report: HostReport, via: string): void {
-    const sign = describeSign(report, this.#known.get(report.host));
+  /** Handles a report that the control host `via` received. */
+  handleReport(report: HostReport, via: string): void {
+    const sign = describeSign(report, this.#lastSigns.get(report.host));
     if (sign === undefined) {
       return;
     }
-    this.#known.set(report.host, sign);
+    this.#lastSigns.set(report.host, sign);
     this.#handle({ type: 'reported', now: this.#now(), sign, via });
     for (const health of report.groups) {
       this.#groups.note(health, this.#now());
@@ -91,17 +94,17 @@
     }
   }
 
-  /** The connection on which a host reported here closed. */
-  noteClosed(host: HostName): void {
+  /** Handles the end of the connection on which a host reported here. */
+  handleConnectionClosed(host: HostName): void {
     this.#handle({ type: 'connectionClosed', now: this.#now(), host });
   }
 
   #tick(): void {
-    this.#followPolicy();
+    this.#updatePolicy();
     this.#handle({ type: 'ticked', now: this.#now() });
   }
 
-  #followPolicy(): void {
+  #updatePolicy(): void {
     const policy = this.#options.readPolicy();
     if (policy !== this.#policy) {
       this.#policy = policy;
@@ -111,18 +114,21 @@
 
   #handle(event: HostHealthEvent): void {
     for (const effect of this.#health.handle(event)) {
-      this.#carryOut(effect);
+      this.#applyEffect(effect);
     }
   }
 
-  #carryOut(effect: HostHealthEffect): void {
+  #applyEffect(effect: HostHealthEffect): void {
     const { logger } = this.#options;
     switch (effect.type) {
       case 'standingChanged':
         logger.info({ host: effect.host, standing: effect.standing }, 'host standing changed');
         return;
       case 'watcherSuspicionChanged':
-        logger.warn({ isSuspected: effect.isSuspected }, 'suspicion of being cut off changed');
+        logger.warn(
+          { isSuspected: effect.isSuspected },
+          'suspicion that this control host is partitioned changed',
+        );
         return;
       case 'wake':
         this.#wakeAt(effect.at);
@@ -137,7 +143,7 @@
     if (!this.#isOpen) {
       return;
     }
-    const wait = Math.min(longestWait, Math.max(1, Math.ceil(at - this.#now())));
+    const wait = Math.min(maxWait, Math.max(1, Math.ceil(at - this.#now())));
     this.#timer = setTimeout(() => {
       this.#tick();
     }, wait);
@@ -148,7 +154,7 @@
   }
 }
 
-/** What host health needs of a report; undefined while the host's facts are not known. */
+/** Extracts what host health needs from a report; undefined while the facts of the host are unknown. */
 function describeSign(report: HostReport, known: HostSign | undefined): HostSign | undefined {
   const { host, incarnation, facts, isLeaving } = report;
   const source = facts ?? known;
--- a/src/control/shell/log.ts
+++ b/src/control/shell/log.ts
@@ -16,7 +16,7 @@
 import { findControlAddress, type ControlSettings } from '../../settings/index.js';
 import type { CommandAnswer } from '../state/index.js';
 
-/** The replicated log of a control host, made from its settings. */
+/** Creates the replicated log of a control host from its settings. */
 
 /** Exit code of a process whose log can no longer be trusted. */
 const logFailedExitCode = 70;
--- a/src/control/shell/membership-keeper.ts
+++ b/src/control/shell/membership-manager.ts
@@ -16,17 +16,17 @@
 import { MembershipPolicy } from '../membership-policy.js';
 import type { ControlLog } from './log.js';
 
-/** Takes replaced control hosts into the log, and those that are gone out of it. */
+/** Adds replacement control hosts to the membership of the replicated log, and removes failed ones. */
 
 const interval: Milliseconds = 500;
-const askTimeout: Milliseconds = 1500;
+const admitTimeout: Milliseconds = 1500;
 
-/** Options of the keeper. */
-export interface MembershipKeeperOptions {
+/** Options of the membership manager. */
+export interface MembershipManagerOptions {
   readonly name: string;
   readonly log: ControlLog;
   readonly clients: RpcClientPool;
-  /** Number of voters that the deployment is to have. */
+  /** Number of voters that the deployment should have. */
   readonly voterCount: number;
   /** Addresses of the control hosts that may know the leader. */
   readonly listPeers: () => readonly string[];
@@ -35,21 +35,21 @@
   readonly logger: Logger;
 }
 
-/** The answer to a control host that asks to be taken in. */
+/** Answer to a control host that requests admission. */
 export interface AdmitAnswer {
   readonly resultCode: number;
   readonly message: string;
 }
 
-export class MembershipKeeper implements ManagedPart {
-  readonly name = 'membership keeper';
-  readonly #options: MembershipKeeperOptions;
+export class MembershipManager implements ManagedPart {
+  readonly name = 'membership manager';
+  readonly #options: MembershipManagerOptions;
   readonly #policy: MembershipPolicy;
   #timer: NodeJS.Timeout | undefined;
   #isBusy = false;
-  #turn = 0;
+  #peerIndex = 0;
 
-  constructor(options: MembershipKeeperOptions) {
+  constructor(options: MembershipManagerOptions) {
     this.#options = options;
     this.#policy = new MembershipPolicy(options.voterCount);
   }
@@ -64,8 +64,8 @@
     clearInterval(this.#timer);
   }
 
-  /** Another control host asks to be taken in. */
-  async takeRequest({ name, storageId, forwarded }: AdmitRequest): Promise<AdmitAnswer> {
+  /** Handles an admission request of another control host. */
+  async handleAdmitRequest({ name, storageId, forwarded }: AdmitRequest): Promise<AdmitAnswer> {
     const { log, findAddress, clients, logger } = this.#options;
     const view = log.view();
     if (view.type === 'leader') {
@@ -78,9 +78,9 @@
     try {
       const client = clients.client(ConsensusService, leader);
       const request = { name, storageId, forwarded: true };
-      return await client.admit(request, { timeoutMs: askTimeout });
+      return await client.admit(request, { timeoutMs: admitTimeout });
     } catch (error) {
-      logger.info({ leader, error: String(error) }, 'request to be taken in not handed on');
+      logger.info({ leader, error: String(error) }, 'admission request could not be forwarded');
       return encodeOutcome(createFailure('noQuorum', String(error)));
     }
   }
@@ -94,7 +94,7 @@
       return encodeOutcome(undefined);
     }
     if (earlier !== undefined && silentMembers?.includes(name) !== true) {
-      // Of two processes with one name, the one that answers stays.
+      // If two processes have the same name, the one that responds keeps its membership.
       return encodeOutcome(createFailure('invalidCommand', `${name} is a member and answers`));
     }
     if (earlier === undefined && log.status !== undefined && !this.#policy.mayAdmit(log.status)) {
@@ -102,7 +102,7 @@
     }
     const result = await log.changeMembers({ type: 'admit', member: { name, storageId } });
     const failure = result.err ? result.val : undefined;
-    logger.warn({ name, storageId, failure }, 'control host asked to be taken in');
+    logger.warn({ name, storageId, failure }, 'admission of control host requested');
     return encodeOutcome(failure);
   }
 
@@ -119,7 +119,7 @@
         case 'wait':
           break;
         case 'ask':
-          await this.#ask(status.self.storageId);
+          await this.#requestAdmission(status.self.storageId);
           break;
         case 'remove':
           await this.#remove(step.name);
@@ -130,11 +130,11 @@
     }
   }
 
-  async #ask(storageId: string): Promise<void> {
+  async #requestAdmission(storageId: string): Promise<void> {
     const { name, clients, listPeers, logger } = this.#options;
     const peers = listPeers();
-    const address = peers[this.#turn % Math.max(1, peers.length)];
-    this.#turn += 1;
+    const address = peers[this.#peerIndex % Math.max(1, peers.length)];
+    this.#peerIndex += 1;
     if (address === undefined) {
       return;
     }
@@ -142,12 +142,12 @@
       const client = clients.client(ConsensusService, address);
       const { resultCode, message } = await client.admit(
         { name, storageId, forwarded: false },
-        { timeoutMs: askTimeout },
+        { timeoutMs: admitTimeout },
       );
       const code = findResultCodeName(resultCode);
-      logger.info({ address, code, message }, 'asked to be taken into the log');
+      logger.info({ address, code, message }, 'requested admission to the replicated log');
     } catch (error) {
-      logger.info({ address, error: String(error) }, 'no answer on being taken into the log');
+      logger.info({ address, error: String(error) }, 'admission request failed');
       clients.retire(address);
     }
   }
--- a/src/control/shell/operator-service.ts
+++ b/src/control/shell/operator-service.ts
@@ -27,12 +27,12 @@
   type CommandAnswer,
   type ViewKind,
 } from '../state/index.js';
-import { retryWithoutQuorum, type CommandSubmitter } from './command-submitter.js';
+import { noQuorumRetryDelay, type CommandSubmitter } from './command-submitter.js';
 import { createView, type ViewSource } from './views.js';
 
-/** Answers operators and gateways: commands and reads. */
+/** Handles commands and reads of operators and gateways. */
 
-/** Marks a read that was already handed on once, so that two hosts that disagree do not pass it to and fro. */
+/** Marks a read that was already forwarded, so that two hosts that disagree about the leader do not forward it back and forth. */
 const forwardedHeader = 'pistachiospoke-forwarded';
 const forwardTimeout: Milliseconds = 3000;
 
@@ -52,23 +52,23 @@
     this.#options = options;
   }
 
-  /** A command from outside control. */
+  /** Handles a command from outside control. */
   submit(text: string): Promise<SubmitResponse> {
-    return this.#answer(text, (command) => this.#options.submitter.submit(command));
+    return this.#runCommand(text, (command) => this.#options.submitter.submit(command));
   }
 
-  /** A command that another control host hands on. */
-  takeForwarded(text: string): Promise<SubmitResponse> {
-    return this.#answer(text, (command) => this.#options.submitter.proposeHere(command));
+  /** Handles a command forwarded by another control host. */
+  handleForwarded(text: string): Promise<SubmitResponse> {
+    return this.#runCommand(text, (command) => this.#options.submitter.proposeLocally(command));
   }
 
-  /** A read that is not stale: from the leader, after it heard from a quorum. */
+  /** Handles a read that must not be stale: the leader answers it after confirming its leadership with a quorum. */
   async get(request: GetRequest, context: HandlerContext): Promise<GetResponse> {
     if (!isViewKind(request.kind)) {
       return refuseGet(createFailure('invalidCommand', `unknown kind ${request.kind}`));
     }
     if (request.kind === 'control') {
-      return this.#read(request.kind);
+      return this.#readLocally(request.kind);
     }
     const leadership = this.#options.log.view();
     switch (leadership.type) {
@@ -85,24 +85,24 @@
     }
   }
 
-  async #answer(
+  async #runCommand(
     text: string,
-    carryOut: (command: Command) => Promise<Result<CommandAnswer, Failure>>,
+    execute: (command: Command) => Promise<Result<CommandAnswer, Failure>>,
   ): Promise<SubmitResponse> {
     const command = checkSubmittedCommand(text);
     if (command.err) {
       return encodeFailure(command.val);
     }
-    const result = await carryOut(command.unwrap());
+    const result = await execute(command.unwrap());
     return result.ok ? encodeAnswer(result.val) : encodeFailure(result.val);
   }
 
   async #readConfirmed(kind: ViewKind): Promise<GetResponse> {
     const confirmed = await this.#options.log.confirmRead();
-    return confirmed.ok ? this.#read(kind) : refuseGet(confirmed.val);
+    return confirmed.ok ? this.#readLocally(kind) : refuseGet(confirmed.val);
   }
 
-  #read(kind: ViewKind): GetResponse {
+  #readLocally(kind: ViewKind): GetResponse {
     const source = this.#options.describe();
     const answer = JSON.stringify(createView(kind, source));
     return create(GetResponseSchema, { answer, index: BigInt(source.state.index) });
@@ -146,7 +146,7 @@
 function encodeFailure(failure: Failure): SubmitResponse {
   const message: MessageInitShape<typeof SubmitResponseSchema> = {
     ...encodeOutcome(failure),
-    retryAfterMilliseconds: failure.retryAfterMilliseconds ?? retryWithoutQuorum,
+    retryAfterMilliseconds: failure.retryAfterMilliseconds ?? noQuorumRetryDelay,
   };
   return create(SubmitResponseSchema, message);
 }
--- a/src/control/shell/placement-loop.ts
+++ b/src/control/shell/placement-loop.ts
@@ -12,13 +12,13 @@
 import type { CommandSubmitter } from './command-submitter.js';
 import type { HostObserver } from './host-observer.js';
 
-/** On the leader, asks placement what to do whenever something may have changed, and commits the answer. */
+/** Runs the placement planner periodically on the leader, and commits its decisions. */
 
 const interval: Milliseconds = 250;
-/** A new leader first collects reports this long: hosts it has not heard of yet are not lost. */
+/** How long a new leader collects reports before it plans; until then a host without a report is not taken for lost. */
 const settleTime: Milliseconds = 3000;
-/** It waits longer while it has not heard of a member; one that is not back by then is lost. */
-const longestSettleTime: Milliseconds = 15_000;
+/** Longer limit while a group member has not reported; a member that has not reported by then is taken for lost. */
+const maxSettleTime: Milliseconds = 15_000;
 
 const estimates = { loadDuration: 60_000, handover: 2000, hostUnavailability: 0.01 };
 
@@ -39,7 +39,7 @@
   readonly #options: PlacementLoopOptions;
   #timer: NodeJS.Timeout | undefined;
   #leadingSince: Milliseconds | undefined;
-  /** Stays true while this host leads: a member that leaves later is no longer known either. */
+  /** Stays true while this host is the leader, because a member that leaves later also becomes unknown. */
   #hasSettled = false;
   #isSubmitting = false;
 
@@ -71,7 +71,7 @@
     if (this.#isSubmitting || !this.#hasSettled) {
       return;
     }
-    const decision = planPlacement(this.#describe(state));
+    const decision = planPlacement(this.#createInput(state));
     if (decision.place.length === 0 && decision.dissolve.length === 0) {
       return;
     }
@@ -82,10 +82,10 @@
     const known = this.#options.directory.read();
     const members = [...state.groups.values()].flatMap((group) => group.members);
     const isEachKnown = members.every((member) => known.has(member.host));
-    return leadingFor >= (isEachKnown ? settleTime : longestSettleTime);
+    return leadingFor >= (isEachKnown ? settleTime : maxSettleTime);
   }
 
-  #describe(state: ControlState): PlacementInput {
+  #createInput(state: ControlState): PlacementInput {
     const { directory, observer } = this.#options;
     const hosts = [...directory.read().values()].map((host) => ({
       facts: applyHostOverride(host.facts, state.overrides.get(host.facts.host)),
@@ -110,7 +110,7 @@
     const { place, dissolve, notes } = decision;
     this.#isSubmitting = true;
     try {
-      const result = await submitter.proposeHere({
+      const result = await submitter.proposeLocally({
         type: 'placeGroups',
         at: 0,
         place,
--- a/src/control/shell/report-service.ts
+++ b/src/control/shell/report-service.ts
@@ -18,8 +18,8 @@
 import { decodeReport, encodeReport } from '../report-codec.js';
 
 /**
- * Takes the reports of sidecars and passes them on to the other control hosts,
- * so that a new leader already knows the hosts and a sidecar may report to any control host.
+ * Receives the reports of sidecars and forwards them to the other control hosts, so that a sidecar may report to any control host and
+ * a new leader already knows the hosts.
  */
 
 const forwardInterval: Milliseconds = 500;
@@ -32,20 +32,20 @@
   readonly peers: () => readonly string[];
   readonly directory: HostDirectory;
   readonly watchers: WatcherDirectory;
-  /** Names of the gateways that watch this control host now. */
-  readonly listWatching: () => readonly string[];
+  /** Names of the gateways with an open watch on this control host. */
+  readonly listConnectedGateways: () => readonly string[];
   readonly clients: RpcClientPool;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Called after each report that may change placement or what watchers see, with the control host it came in at. */
+  /** Called after each report that may affect placement or what watchers see, with the control host that received it. */
   readonly onReport: (report: HostReport, via: string) => void;
-  /** Told what became of each report. */
+  /** Called with the result of each report. */
   readonly onVerdict: (verdict: ReportVerdict) => void;
-  /** Called when the stream of a host ended that did not say good-bye. */
+  /** Called when the stream of a host ends without a leaving report. */
   readonly onClosed: (host: HostName) => void;
 }
 
-/** Reports heard here, waiting to be passed on to one peer. */
+/** Reports received here that are waiting to be forwarded to one peer. */
 interface Outbox {
   readonly reports: Map<HostName, HostReport>;
   isSending: boolean;
@@ -71,15 +71,15 @@
     clearInterval(this.#timer);
   }
 
-  /** Handles one sidecar's stream until it ends; answers each report that was heard. */
-  async *takeStream(messages: AsyncIterable<HostReportMessage>): AsyncGenerator<ReportResponse> {
+  /** Handles the stream of one sidecar until it ends; answers each accepted report. */
+  async *handleStream(messages: AsyncIterable<HostReportMessage>): AsyncGenerator<ReportResponse> {
     let last: HostReport | undefined;
     try {
       for await (const message of messages) {
         last = decodeReport(message);
-        const verdict = this.#take(last, this.#options.name);
+        const verdict = this.#handleReport(last, this.#options.name);
         if (verdict === 'factsMissing') {
-          // The sidecar sends its facts first on every stream, so a new stream mends what is missing.
+          // A sidecar sends its facts first on every stream, so reconnecting supplies the missing facts.
           throw new ConnectError('facts of this host are not known here', Code.FailedPrecondition);
         }
         if (verdict === 'taken') {
@@ -94,19 +94,19 @@
     }
   }
 
-  /** Takes what another control host passes on; answers the hosts whose facts are missing here. */
-  takeForwarded(request: ForwardReportsRequest): readonly HostName[] {
+  /** Handles reports forwarded by another control host; returns the hosts whose facts are missing here. */
+  handleForwarded(request: ForwardReportsRequest): readonly HostName[] {
     for (const watcher of request.watchers) {
       this.#options.watchers.takeForwarded(decodeWatcher(watcher, request.from), this.#now());
     }
     return request.reports
       .map(decodeReport)
-      .filter((report) => this.#take(report, request.from) === 'factsMissing')
+      .filter((report) => this.#handleReport(report, request.from) === 'factsMissing')
       .map((report) => report.host);
   }
 
-  /** Takes a gateway's word on the revision it has in force. */
-  takeWatcher(watcher: WatcherState): void {
+  /** Handles an acknowledgement from a gateway of its active revision. */
+  handleAcknowledgement(watcher: WatcherState): void {
     this.#options.watchers.take(decodeWatcher(watcher, this.#options.name), this.#now());
   }
 
@@ -114,7 +114,7 @@
     return this.#options.clock.monotonic();
   }
 
-  #take(report: HostReport, via: string): ReportVerdict {
+  #handleReport(report: HostReport, via: string): ReportVerdict {
     const { directory, onReport, onVerdict } = this.#options;
     const verdict = directory.take(report, this.#now());
     onVerdict(verdict);
@@ -126,13 +126,13 @@
 
   #enqueue(report: HostReport): void {
     for (const peer of this.#options.peers()) {
-      const outbox = this.#outbox(peer);
+      const outbox = this.#findOutbox(peer);
       const facts = report.facts ?? outbox.reports.get(report.host)?.facts;
       outbox.reports.set(report.host, { ...report, facts });
     }
   }
 
-  #outbox(peer: string): Outbox {
+  #findOutbox(peer: string): Outbox {
     const known = this.#outboxes.get(peer);
     if (known !== undefined) {
       return known;
@@ -144,7 +144,7 @@
 
   #forwardAll(): void {
     for (const peer of this.#options.peers()) {
-      void this.#forward(peer, this.#outbox(peer));
+      void this.#forward(peer, this.#findOutbox(peer));
     }
   }
 
@@ -153,7 +153,7 @@
       return;
     }
     const watchers = this.#options.watchers
-      .listStates(this.#options.listWatching())
+      .listStates(this.#options.listConnectedGateways())
       .map(encodeWatcher);
     if (outbox.reports.size === 0 && watchers.length === 0) {
       return;
@@ -171,7 +171,7 @@
         );
       this.#enqueueFacts(outbox, response.missingFacts);
     } catch (error) {
-      logger.debug({ peer, error: String(error) }, 'reports not passed on');
+      logger.debug({ peer, error: String(error) }, 'reports could not be forwarded');
       this.#enqueueFacts(
         outbox,
         reports.filter((report) => report.facts !== undefined).map((report) => report.host),
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Facts lost on the way are sent again with the next batch; a heartbeat alone would be refused for ever. */
+  /** Queues lost facts for the next batch. Without them, heartbeats of these hosts would be rejected forever. */
   #enqueueFacts(outbox: Outbox, hosts: readonly HostName[]): void {
     for (const host of hosts) {
       const known = this.#options.directory.read().get(host);
--- a/src/control/shell/views.ts
+++ b/src/control/shell/views.ts
@@ -15,9 +15,9 @@
   type WatcherView,
 } from '../state/index.js';
 
-/** Builds the answers of `get`; free of I/O. */
+/** Builds the answers to `get` requests; free of I/O. */
 
-/** All that the answers are made from. */
+/** Data from which the answers are built. */
 export interface ViewSource {
   readonly name: string;
   readonly state: ControlState;
@@ -30,7 +30,7 @@
   readonly isPresent: (host: ReportedHost, now: Milliseconds) => boolean;
 }
 
-/** Answer of `get` for a kind. */
+/** Answer to a `get` request of some kind. */
 export type View = ConfigurationView | HostsView | GroupsView | WatchersView | ControlView;
 
 export function createView(kind: ViewKind, source: ViewSource): View {
--- a/src/control/state/apply-engine-groups.ts
+++ b/src/control/state/apply-engine-groups.ts
@@ -11,7 +11,7 @@
 export function applyPlanEngineGroups(state: ControlState, command: PlanEngineGroups): ApplyResult {
   const { engineGroups, engineGroupsIndex } = state.routing;
   if (command.basedOn < engineGroupsIndex) {
-    const detail = `Decision based on index ${command.basedOn}; groups changed at index ${engineGroupsIndex}.`;
+    const detail = `Decided at index ${command.basedOn}; groups changed at ${engineGroupsIndex}.`;
     return refuse(state, 'stalePlacement', detail);
   }
   const groups = new Map(engineGroups);
@@ -29,7 +29,7 @@
   }
   const shared = findSharedEngine(groups);
   if (shared !== undefined) {
-    return refuse(state, 'hostInTwoGroups', `${shared} would be in two engine groups.`);
+    return refuse(state, 'hostInTwoGroups', `${shared} would be in two groups of engines.`);
   }
   const routing = { ...state.routing, engineGroups: groups, engineGroupsIndex: state.index };
   return { state: { ...state, fencingNumber, routing }, answer: { type: 'planned' } };
--- a/src/control/state/apply-placement.ts
+++ b/src/control/state/apply-placement.ts
@@ -12,7 +12,7 @@
 export function applyPlaceGroups(state: ControlState, command: PlaceGroups): ApplyResult {
   // An old leader that does not know the new one yet may decide from an outdated state; its decision is refused.
   if (command.basedOn < state.groupsIndex) {
-    const detail = `Decision based on index ${command.basedOn}; groups changed at index ${state.groupsIndex}.`;
+    const detail = `Decided at index ${command.basedOn}; groups changed at ${state.groupsIndex}.`;
     return refuse(state, 'stalePlacement', detail);
   }
   const groups = new Map(state.groups);
