--- a/__tests__/control/host-directory.test.ts
+++ b/__tests__/control/host-directory.test.ts
@@ -41,10 +41,10 @@
   // first arrives last. The last received report used to win, and heartbeats carry no facts that would correct it.
   it('ignores a report that another control host passes on late', () => {
     const directory = new HostDirectory();
-    directory.take(createReport(7, { facts: createFacts(true), factsSequence: 7 }), 10);
+    directory.record(createReport(7, { facts: createFacts(true), factsSequence: 7 }), 10);
     const late = createReport(6, { facts: createFacts(false), factsSequence: 6 });
-    expect(directory.take(late, 20)).toBe('old');
-    expect(directory.take(createReport(8, { factsSequence: 7 }), 30)).toBe('taken');
+    expect(directory.record(late, 20)).toBe('old');
+    expect(directory.record(createReport(8, { factsSequence: 7 }), 30)).toBe('taken');
     expect(directory.read().get('host-1')).toMatchObject({ facts: { isHealthy: true } });
   });
 
@@ -52,8 +52,8 @@
   // unchanged since whatever facts were known here.
   it('asks for facts that a heartbeat builds on and that never came', () => {
     const directory = new HostDirectory();
-    directory.take(createReport(1, { facts: createFacts(true) }), 10);
-    expect(directory.take(createReport(3, { factsSequence: 2 }), 20)).toBe('factsMissing');
+    directory.record(createReport(1, { facts: createFacts(true) }), 10);
+    expect(directory.record(createReport(3, { factsSequence: 2 }), 20)).toBe('factsMissing');
   });
 
   // Guards against a restarted host that reverts to its previous incarnation, so that groups are placed for a process that no longer
@@ -61,13 +61,13 @@
   // received report used to win.
   it('ignores the former start of a host that restarted, and of one that left', () => {
     const directory = new HostDirectory();
-    directory.take(createReport(90, { facts: createFacts(true), factsSequence: 90 }), 10);
+    directory.record(createReport(90, { facts: createFacts(true), factsSequence: 90 }), 10);
     const later = createReport(1, { incarnation: 'later', facts: createFacts(true, 'later') });
-    expect(directory.take(later, 20)).toBe('taken');
-    expect(directory.take(createReport(91, { facts: createFacts(true) }), 30)).toBe('old');
+    expect(directory.record(later, 20)).toBe('taken');
+    expect(directory.record(createReport(91, { facts: createFacts(true) }), 30)).toBe('old');
     const leaving = createReport(2, { incarnation: 'later', isLeaving: true });
-    expect(directory.take(leaving, 40)).toBe('taken');
-    expect(directory.take({ ...later, sequence: 2 }, 50)).toBe('old');
+    expect(directory.record(leaving, 40)).toBe('taken');
+    expect(directory.record({ ...later, sequence: 2 }, 50)).toBe('old');
     expect(directory.read().size).toBe(0);
   });
 });
--- a/__tests__/control/watcher-directory.test.ts
+++ b/__tests__/control/watcher-directory.test.ts
@@ -18,16 +18,16 @@
    */
   it('does not let a forwarded state replace a newer one', () => {
     const directory = new WatcherDirectory();
-    directory.take(createState(2, 'control-1'), 10);
-    directory.takeForwarded(createState(0, 'control-2'), 20);
+    directory.record(createState(2, 'control-1'), 10);
+    directory.recordForwarded(createState(0, 'control-2'), 20);
     expect(directory.list()).toEqual([{ state: createState(2, 'control-1'), heardAt: 10 }]);
   });
 
   it('accepts a newer forwarded state, and the state of a restarted gateway', () => {
     const directory = new WatcherDirectory();
-    directory.takeForwarded(createState(3, 'control-2'), 10);
+    directory.recordForwarded(createState(3, 'control-2'), 10);
     expect(listRevisions(directory)).toEqual([3]);
-    directory.take(createState(1, 'control-1'), 20);
+    directory.record(createState(1, 'control-1'), 20);
     expect(listRevisions(directory)).toEqual([1]);
   });
 
@@ -38,7 +38,7 @@
    */
   it('lists only the states of gateways with an open watch', () => {
     const directory = new WatcherDirectory();
-    directory.take(createState(1, 'control-1'), 0);
+    directory.record(createState(1, 'control-1'), 0);
     expect(directory.listStates([])).toEqual([]);
     expect(directory.listStates(['gateway-1', 'unknown'])).toEqual([createState(1, 'control-1')]);
   });
--- a/__tests__/groups/hosts.test.ts
+++ b/__tests__/groups/hosts.test.ts
@@ -4,7 +4,7 @@
 import {
   defaultHostHealthOptions,
   HostHealth,
-  ReturnEstimate,
+  ReturnEstimator,
   type HostHealthEffect,
 } from '../../src/control/hosts/index.js';
 
@@ -23,7 +23,7 @@
     const region = 'addis';
     const incarnation = `${name}/${start}`;
     const sign = { host: name, incarnation, region, failureDomain, isHealthy: true, isLeaving };
-    this.#handle({ type: 'reported', now: this.now, via: viaOf(name), sign });
+    this.#handle({ type: 'reported', now: this.now, via: viaOf(name), report: sign });
   }
 
   /** Lets seconds pass in which only some hosts are heard. */
@@ -47,7 +47,7 @@
 
   get suspicions(): readonly boolean[] {
     return this.#effects.flatMap((effect) =>
-      effect.type === 'watcherSuspicionChanged' ? [effect.isSuspected] : [],
+      effect.type === 'isolationSuspicionChanged' ? [effect.isSuspected] : [],
     );
   }
 
@@ -75,9 +75,9 @@
   });
 
   it('expects a return within seconds at first and within hours later', () => {
-    const estimate = new ReturnEstimate(20_000, 14_400_000, 0.96);
-    expect(estimate.expectReturn(0)).toBeLessThan(700_000);
-    expect(estimate.expectReturn(300_000)).toBeGreaterThan(14_000_000);
+    const estimate = new ReturnEstimator(20_000, 14_400_000, 0.96);
+    expect(estimate.estimateReturn(0)).toBeLessThan(700_000);
+    expect(estimate.estimateReturn(300_000)).toBeGreaterThan(14_000_000);
   });
 
   it('holds a flapping host back longer each time and forgives it with time', () => {
@@ -127,7 +127,7 @@
     watch.pass(5);
     watch.pass(10, (name) => name === 'bole-1');
     expect(watch.suspicions).toEqual([true]);
-    expect(watch.health.isWatcherSuspected).toBe(true);
+    expect(watch.health.isIsolationSuspected).toBe(true);
     watch.pass(1);
     expect(watch.suspicions).toEqual([true, false]);
     expect(watch.standings().every((standing) => standing === 'present')).toBe(true);
--- a/__tests__/groups/session-control.ts
+++ b/__tests__/groups/session-control.ts
@@ -1,6 +1,6 @@
 import {
   defaultHostHealthOptions,
-  GroupWatch,
+  IncompleteGroupTracker,
   HostHealth,
   type HostHealthEffect,
   type HostHealthEvent,
@@ -21,7 +21,7 @@
 
 export class SessionControl {
   readonly #health: HostHealth;
-  readonly #watch = new GroupWatch();
+  readonly #watch = new IncompleteGroupTracker();
   readonly #reported = new Map<string, HostFacts>();
   readonly #groupHealth = new Map<string, GroupHealth>();
   readonly #log: (line: string) => void;
@@ -46,10 +46,10 @@
     this.#reported.set(facts.host, facts);
     const { host, incarnation, region, failureDomain, isHealthy } = facts;
     const sign = { host, incarnation, region, failureDomain, isHealthy, isLeaving: false };
-    this.#tell({ type: 'reported', now, sign, via: 'control' });
+    this.#tell({ type: 'reported', now, report: sign, via: 'control' });
     for (const health of groups) {
       this.#groupHealth.set(health.group, health);
-      this.#watch.note(health, now);
+      this.#watch.record(health, now);
       for (const missing of health.missing) {
         this.#tell({ type: 'missed', now, host: missing });
       }
@@ -75,7 +75,7 @@
         incompleteFor: this.#watch.incompleteFor(group, now),
       })),
       estimates: { loadDuration, handover: 3000, hostUnavailability: 0.01 },
-      isWatcherSuspected: this.#health.isWatcherSuspected,
+      isWatcherSuspected: this.#health.isIsolationSuspected,
     });
     const { place, dissolve, notes } = decision;
     if (place.length + dissolve.length === 0) {
@@ -106,10 +106,10 @@
   }
 
   #logEffect(effect: HostHealthEffect, now: number): void {
-    if (effect.type === 'standingChanged' && now > quietUntil) {
-      this.#log(`control: ${effect.host} ${effect.standing}`);
+    if (effect.type === 'statusChanged' && now > quietUntil) {
+      this.#log(`control: ${effect.host} ${effect.status}`);
     }
-    if (effect.type === 'watcherSuspicionChanged') {
+    if (effect.type === 'isolationSuspicionChanged') {
       this.#log(`control: ${effect.isSuspected ? 'suspects itself' : 'trusts itself again'}`);
     }
   }
--- a/bench/control-state.ts
+++ b/bench/control-state.ts
@@ -12,7 +12,7 @@
   type Command as StateCommand,
   type ControlState,
 } from '../src/control/state/index.js';
-import { describePublished } from '../src/control/describe-published.js';
+import { buildPublishedState } from '../src/control/build-published-state.js';
 import { HostDirectory } from '../src/control/index.js';
 import { WatchHub } from '../src/control/watch-hub.js';
 import { emptyConfiguration } from '../src/configuration/index.js';
@@ -115,13 +115,13 @@
 /** Microseconds of telling watchers of a command that changed nothing for them: all listed again, and only the index noted. */
 function measurePublishing(state: ControlState): readonly number[] {
   const directory = new HostDirectory();
-  const hub = new WatchHub(describePublished(state, directory));
+  const hub = new WatchHub(buildPublishedState(state, directory));
   const ways = [
     (index: number): void => {
-      hub.publish(describePublished({ ...state, index }, directory));
+      hub.publish(buildPublishedState({ ...state, index }, directory));
     },
     (index: number): void => {
-      hub.advance(index);
+      hub.advanceIndex(index);
     },
   ];
   return ways.map((tell) => {
--- a/bench/groups/costs.ts
+++ b/bench/groups/costs.ts
@@ -222,7 +222,7 @@
         isHealthy: true,
         isLeaving: false,
       };
-      health.handle({ type: 'reported', now, sign, via: 'control' });
+      health.handle({ type: 'reported', now, report: sign, via: 'control' });
     }
     health.handle({ type: 'ticked', now });
   });
--- a/bench/groups/strategies.ts
+++ b/bench/groups/strategies.ts
@@ -2,7 +2,7 @@
 import { emptyConfiguration } from '../../src/configuration/index.js';
 import {
   defaultHostHealthOptions,
-  GroupWatch,
+  IncompleteGroupTracker,
   HostHealth,
   type HostHealthEvent,
 } from '../../src/control/hosts/index.js';
@@ -48,7 +48,7 @@
 export class OwnStrategy implements Strategy {
   readonly #configuration: Configuration;
   readonly #health: HostHealth;
-  readonly #watch = new GroupWatch();
+  readonly #watch = new IncompleteGroupTracker();
   readonly #facts = new Map<string, HostFacts>();
   readonly #groups = new Map<string, GroupHealth>();
   readonly #loadDuration: Milliseconds;
@@ -75,7 +75,7 @@
     this.#facts.set(facts.host, facts);
     const { host, incarnation, region, failureDomain, isHealthy } = facts;
     const sign = { host, incarnation, region, failureDomain, isHealthy, isLeaving: false };
-    this.#tell({ type: 'reported', now, sign, via: 'control' });
+    this.#tell({ type: 'reported', now, report: sign, via: 'control' });
   }
 
   noteClosed(host: string, now: Milliseconds): void {
@@ -84,7 +84,7 @@
 
   noteHealth(health: GroupHealth, now: Milliseconds): void {
     this.#groups.set(health.group, health);
-    this.#watch.note(health, now);
+    this.#watch.record(health, now);
     for (const host of health.missing) {
       this.#tell({ type: 'missed', now, host });
     }
@@ -116,7 +116,7 @@
         incompleteFor: this.#watch.incompleteFor(group, now),
       })),
       estimates: { loadDuration: this.#loadDuration, handover: 2000, hostUnavailability: 0.005 },
-      isWatcherSuspected: this.#health.isWatcherSuspected,
+      isWatcherSuspected: this.#health.isIsolationSuspected,
     });
   }
 
--- a/bench/steps/control-steps.ts
+++ b/bench/steps/control-steps.ts
@@ -59,7 +59,7 @@
       type: 'reported',
       now: turn * (1000 / hostCount),
       via: 'control-1',
-      sign: {
+      report: {
         host: `llm-host-${turn % hostCount}`,
         incarnation: 'one',
         region: 'addis',
--- a/src/control/describe-published.ts
+++ b/src/control/build-published-state.ts
@@ -4,7 +4,7 @@
 import type { PublishedState } from './watch-hub.js';
 
 /** Builds the state that watchers get from the replicated state and the reports of lead sidecars. */
-export function describePublished(state: ControlState, directory: HostDirectory): PublishedState {
+export function buildPublishedState(state: ControlState, directory: HostDirectory): PublishedState {
   const { index, revision, configuration, groups } = state;
   const watched = [...groups.values()].map((group): [string, WatchedGroup] => {
     const isServing = directory.findHealth(group)?.isServing ?? false;
--- a/src/control/host-directory.ts
+++ b/src/control/host-directory.ts
@@ -68,7 +68,7 @@
   readonly #reported = new Map<HostName, ReportedHost>();
 
   /** Records a report received at `now`. */
-  take(report: HostReport, now: Milliseconds): ReportVerdict {
+  record(report: HostReport, now: Milliseconds): ReportVerdict {
     const known = this.#known.get(report.host);
     if (known !== undefined && isOld(report, known)) {
       return 'old';
--- a/src/control/hosts/host-health.ts
+++ b/src/control/hosts/host-health.ts
@@ -2,8 +2,8 @@
 import type { HostName, Policy } from '../../model/index.js';
 import type { HostAvailability } from '../../placement/index.js';
 import { computeQuarantineScale } from './flap-damping.js';
-import { ReturnEstimate } from './return-estimator.js';
-import type { HostHealthEffect, HostHealthEvent, HostHealthOptions, HostSign } from './types.js';
+import { ReturnEstimator } from './return-estimator.js';
+import type { HostHealthEffect, HostHealthEvent, HostHealthOptions, HostHealthReport } from './types.js';
 import { detectIsolation } from './isolation-detection.js';
 import { TrackedHost } from './tracked-host.js';
 
@@ -16,7 +16,7 @@
 export class HostHealth implements Controller<HostHealthEvent, HostHealthEffect> {
   readonly #options: HostHealthOptions;
   readonly #hosts = new Map<HostName, TrackedHost>();
-  readonly #returns: ReturnEstimate;
+  readonly #returns: ReturnEstimator;
   #quarantineScale = 1;
   #isIsolationSuspected = false;
   /** When this control host began to suspect that it is isolated; undefined while it does not. */
@@ -27,7 +27,7 @@
 
   constructor(options: HostHealthOptions, policy: Policy) {
     this.#options = options;
-    this.#returns = new ReturnEstimate(
+    this.#returns = new ReturnEstimator(
       options.restartDuration,
       options.outageDuration,
       options.restartShare,
@@ -36,7 +36,7 @@
   }
 
   /** Whether to ignore host losses now, because this control host itself may be isolated from the network. */
-  get isWatcherSuspected(): boolean {
+  get isIsolationSuspected(): boolean {
     return this.#isIsolationSuspected;
   }
 
@@ -56,7 +56,7 @@
     this.#detectPause(event.now);
     switch (event.type) {
       case 'reported':
-        return this.#recordReport(event.sign, event.via, event.now);
+        return this.#recordReport(event.report, event.via, event.now);
       case 'connectionClosed':
         this.#hosts.get(event.host)?.recordConnectionClosed(event.now);
         return this.#review(event.now);
@@ -91,7 +91,7 @@
     this.#lastEventAt = now;
   }
 
-  #recordReport(report: HostSign, via: string, now: Milliseconds): readonly HostHealthEffect[] {
+  #recordReport(report: HostHealthReport, via: string, now: Milliseconds): readonly HostHealthEffect[] {
     const known = this.#hosts.get(report.host);
     const host = known ?? new TrackedHost(report, this.#options, now);
     this.#hosts.set(report.host, host);
@@ -110,7 +110,7 @@
   }
 
   /** Adds a full penalty for a return after an unplanned silence or a restart without notice, and a fraction for a late heartbeat. */
-  #addPenalties(host: TrackedHost, report: HostSign, now: Milliseconds): void {
+  #addPenalties(host: TrackedHost, report: HostHealthReport, now: Milliseconds): void {
     const isUnreliable =
       host.lastHeardAt <= this.#lastUnreliableAt || host.isBehindSuspectedRelay(now);
     if (host.hasLeft || isUnreliable) {
@@ -154,16 +154,16 @@
       return [];
     }
     this.#isIsolationSuspected = isSuspected;
-    return [{ type: 'watcherSuspicionChanged', isSuspected }];
+    return [{ type: 'isolationSuspicionChanged', isSuspected }];
   }
 
   #reviewHost(host: TrackedHost, now: Milliseconds): readonly HostHealthEffect[] {
-    const standing = this.#availability(host, now).type;
-    if (standing === host.reviewedStatus) {
+    const status = this.#availability(host, now).type;
+    if (status === host.reviewedStatus) {
       return [];
     }
-    host.reviewedStatus = standing;
-    return [{ type: 'standingChanged', host: host.name, standing }];
+    host.reviewedStatus = status;
+    return [{ type: 'statusChanged', host: host.name, status }];
   }
 
   #availability(host: TrackedHost, now: Milliseconds): HostAvailability {
@@ -183,7 +183,7 @@
     if (away >= this.#options.goneAfter) {
       return { type: 'gone' };
     }
-    return { type: 'suspected', expectedReturn: this.#returns.expectReturn(away) };
+    return { type: 'suspected', expectedReturn: this.#returns.estimateReturn(away) };
   }
 
   #nextReview(now: Milliseconds): Milliseconds {
--- a/src/control/hosts/incomplete-group-tracker.ts
+++ b/src/control/hosts/incomplete-group-tracker.ts
@@ -10,11 +10,11 @@
  * Tracks groups whose lead keeps missing members that report to control normally: a network partition between members,
  * which the reports of the hosts alone do not show.
  */
-export class GroupWatch {
+export class IncompleteGroupTracker {
   readonly #incomplete = new Map<GroupName, IncompletePlacement>();
 
   /** Records the health that a lead reports for its group. */
-  note(health: GroupHealth, now: Milliseconds): void {
+  record(health: GroupHealth, now: Milliseconds): void {
     if (health.missing.length === 0) {
       this.#incomplete.delete(health.group);
       return;
--- a/src/control/hosts/index.ts
+++ b/src/control/hosts/index.ts
@@ -1,11 +1,11 @@
-export { GroupWatch } from './incomplete-group-tracker.js';
+export { IncompleteGroupTracker } from './incomplete-group-tracker.js';
 export { HostHealth } from './host-health.js';
-export { ReturnEstimate } from './return-estimator.js';
+export { ReturnEstimator } from './return-estimator.js';
 export {
   defaultHostHealthOptions,
   type HostHealthEffect,
   type HostHealthEvent,
   type HostHealthOptions,
-  type HostSign,
+  type HostHealthReport,
   type HostStatus,
 } from './types.js';
--- a/src/control/hosts/return-estimator.ts
+++ b/src/control/hosts/return-estimator.ts
@@ -8,7 +8,7 @@
  * A silence is either a restart, which is short, or an outage, which takes hours; both durations are modelled as
  * exponentially distributed. The longer the silence, the less likely a restart: the estimate grows from seconds to hours.
  */
-export class ReturnEstimate {
+export class ReturnEstimator {
   readonly #outageDuration: Milliseconds;
   readonly #restartShare: number;
   #restartDuration: Milliseconds;
@@ -20,7 +20,7 @@
   }
 
   /** Expected time until the return of a host that has been silent for `silence`. */
-  expectReturn(silence: Milliseconds): Milliseconds {
+  estimateReturn(silence: Milliseconds): Milliseconds {
     const restart = this.#restartShare * Math.exp(-silence / this.#restartDuration);
     const outage = (1 - this.#restartShare) * Math.exp(-silence / this.#outageDuration);
     const weighted = restart * this.#restartDuration + outage * this.#outageDuration;
--- a/src/control/hosts/tracked-host.ts
+++ b/src/control/hosts/tracked-host.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '../../common/index.js';
 import type { HostName, Incarnation } from '../../model/index.js';
 import { FlapDamping } from './flap-damping.js';
-import type { HostHealthOptions, HostSign, HostStatus } from './types.js';
+import type { HostHealthOptions, HostHealthReport, HostStatus } from './types.js';
 import type { HostObservation } from './isolation-detection.js';
 
 /** State of one host as derived from its reports. */
@@ -27,7 +27,7 @@
   #quarantinedUntil: Milliseconds = -Infinity;
   #relaySuspectedAt: Milliseconds | undefined;
 
-  constructor(report: HostSign, options: HostHealthOptions, now: Milliseconds) {
+  constructor(report: HostHealthReport, options: HostHealthOptions, now: Milliseconds) {
     this.name = report.host;
     this.#incarnation = report.incarnation;
     this.#options = options;
@@ -53,7 +53,7 @@
   }
 
   /** Returns `recovered` if the upstream had failed during this incarnation; its first start is not a recovery. */
-  recordReport(report: HostSign, via: string, now: Milliseconds): 'recovered' | 'unremarkable' {
+  recordReport(report: HostHealthReport, via: string, now: Milliseconds): 'recovered' | 'unremarkable' {
     this.#incarnation = report.incarnation;
     this.#failureDomain = `${report.region}/${report.failureDomain}`;
     this.#relay = via;
--- a/src/control/hosts/types.ts
+++ b/src/control/hosts/types.ts
@@ -2,7 +2,7 @@
 import type { HostName, Incarnation, Policy } from '../../model/index.js';
 
 /** The part of a sidecar's report that host health uses. */
-export interface HostSign {
+export interface HostHealthReport {
   readonly host: HostName;
   readonly incarnation: Incarnation;
   readonly region: string;
@@ -18,7 +18,7 @@
   | {
       readonly type: 'reported';
       readonly now: Milliseconds;
-      readonly sign: HostSign;
+      readonly report: HostHealthReport;
       /** The control host that received the report. */
       readonly via: string;
     }
@@ -38,11 +38,11 @@
 export type HostHealthEffect =
   | {
       /** Placement has to be reviewed. */
-      readonly type: 'standingChanged';
+      readonly type: 'statusChanged';
       readonly host: HostName;
-      readonly standing: HostStatus;
+      readonly status: HostStatus;
     }
-  | { readonly type: 'watcherSuspicionChanged'; readonly isSuspected: boolean }
+  | { readonly type: 'isolationSuspicionChanged'; readonly isSuspected: boolean }
   /** Replaces the timer that the last `wake` set. */
   | { readonly type: 'wake'; readonly at: Milliseconds };
 
--- a/src/control/shell/control-process.ts
+++ b/src/control/shell/control-process.ts
@@ -23,7 +23,7 @@
   type ControlSettings,
 } from '../../settings/index.js';
 import { createRpcServer, RpcClientPool } from '../../wire/index.js';
-import { describePublished } from '../describe-published.js';
+import { buildPublishedState } from '../build-published-state.js';
 import { HostDirectory } from '../host-directory.js';
 import { RoutingControl } from '../routing/index.js';
 import { ControlStateMachine } from '../state/index.js';
@@ -247,7 +247,7 @@
     const { index, revision, groups } = this.#machine.read();
     this.routing.handleStateChange(this.#machine.read());
     if (this.#published.revision === revision && this.#published.groups === groups) {
-      this.#hub.advance(index);
+      this.#hub.advanceIndex(index);
       return;
     }
     this.#publish();
@@ -259,7 +259,7 @@
   }
 
   #describeState(): PublishedState {
-    return describePublished(this.#machine.read(), this.#directory);
+    return buildPublishedState(this.#machine.read(), this.#directory);
   }
 
   #describeView(): ViewSource {
--- a/src/control/shell/host-observer.ts
+++ b/src/control/shell/host-observer.ts
@@ -11,11 +11,11 @@
 import type { HostReport } from '../host-directory.js';
 import {
   defaultHostHealthOptions,
-  GroupWatch,
+  IncompleteGroupTracker,
   HostHealth,
   type HostHealthEffect,
   type HostHealthEvent,
-  type HostSign,
+  type HostHealthReport,
 } from '../hosts/index.js';
 
 /** Updates host health from reports, on every control host, so that a new leader already knows the hosts. */
@@ -37,9 +37,9 @@
   readonly name = 'host observer';
   readonly #options: HostObserverOptions;
   readonly #health: HostHealth;
-  readonly #groups = new GroupWatch();
+  readonly #groups = new IncompleteGroupTracker();
   /** State of each host from its last report with facts; heartbeats carry none. */
-  readonly #lastSigns = new Map<HostName, HostSign>();
+  readonly #lastSigns = new Map<HostName, HostHealthReport>();
   #policy: Policy;
   #timer: NodeJS.Timeout | undefined;
   #isOpen = false;
@@ -61,7 +61,7 @@
   }
 
   get isWatcherSuspected(): boolean {
-    return this.#health.isWatcherSuspected;
+    return this.#health.isIsolationSuspected;
   }
 
   availabilityOf(host: HostName): HostAvailability {
@@ -85,9 +85,9 @@
       return;
     }
     this.#lastSigns.set(report.host, sign);
-    this.#handle({ type: 'reported', now: this.#now(), sign, via });
+    this.#handle({ type: 'reported', now: this.#now(), report: sign, via });
     for (const health of report.groups) {
-      this.#groups.note(health, this.#now());
+      this.#groups.record(health, this.#now());
       for (const host of health.missing) {
         this.#handle({ type: 'missed', now: this.#now(), host });
       }
@@ -121,10 +121,10 @@
   #applyEffect(effect: HostHealthEffect): void {
     const { logger } = this.#options;
     switch (effect.type) {
-      case 'standingChanged':
-        logger.info({ host: effect.host, standing: effect.standing }, 'host standing changed');
+      case 'statusChanged':
+        logger.info({ host: effect.host, standing: effect.status }, 'host standing changed');
         return;
-      case 'watcherSuspicionChanged':
+      case 'isolationSuspicionChanged':
         logger.warn(
           { isSuspected: effect.isSuspected },
           'suspicion that this control host is partitioned changed',
@@ -155,7 +155,7 @@
 }
 
 /** Extracts what host health needs from a report; undefined while the facts of the host are unknown. */
-function describeSign(report: HostReport, known: HostSign | undefined): HostSign | undefined {
+function describeSign(report: HostReport, known: HostHealthReport | undefined): HostHealthReport | undefined {
   const { host, incarnation, facts, isLeaving } = report;
   const source = facts ?? known;
   if (source === undefined) {
--- a/src/control/shell/report-service.ts
+++ b/src/control/shell/report-service.ts
@@ -97,7 +97,7 @@
   /** Handles reports forwarded by another control host; returns the hosts whose facts are missing here. */
   handleForwarded(request: ForwardReportsRequest): readonly HostName[] {
     for (const watcher of request.watchers) {
-      this.#options.watchers.takeForwarded(decodeWatcher(watcher, request.from), this.#now());
+      this.#options.watchers.recordForwarded(decodeWatcher(watcher, request.from), this.#now());
     }
     return request.reports
       .map(decodeReport)
@@ -107,7 +107,7 @@
 
   /** Handles an acknowledgement from a gateway of its active revision. */
   handleAcknowledgement(watcher: WatcherState): void {
-    this.#options.watchers.take(decodeWatcher(watcher, this.#options.name), this.#now());
+    this.#options.watchers.record(decodeWatcher(watcher, this.#options.name), this.#now());
   }
 
   #now(): Milliseconds {
@@ -116,7 +116,7 @@
 
   #handleReport(report: HostReport, via: string): ReportVerdict {
     const { directory, onReport, onVerdict } = this.#options;
-    const verdict = directory.take(report, this.#now());
+    const verdict = directory.record(report, this.#now());
     onVerdict(verdict);
     if (verdict === 'taken') {
       onReport(report, via);
--- a/src/control/watch-hub.ts
+++ b/src/control/watch-hub.ts
@@ -61,7 +61,7 @@
   }
 
   /** Advances the log index when nothing that watchers receive has changed. */
-  advance(index: number): void {
+  advanceIndex(index: number): void {
     this.#published = { ...this.#published, index };
   }
 
--- a/src/control/watcher-directory.ts
+++ b/src/control/watcher-directory.ts
@@ -39,15 +39,15 @@
   readonly #watchers = new Map<string, KnownWatcher>();
 
   /** Records a state forwarded by another control host, unless it is older. */
-  takeForwarded(state: WatcherState, now: Milliseconds): void {
+  recordForwarded(state: WatcherState, now: Milliseconds): void {
     const known = this.#watchers.get(state.name)?.state.revision ?? 0;
     if (state.revision >= known) {
-      this.take(state, now);
+      this.record(state, now);
     }
   }
 
   /** Records a state reported by the gateway itself. */
-  take(state: WatcherState, now: Milliseconds): void {
+  record(state: WatcherState, now: Milliseconds): void {
     this.#watchers.set(state.name, { state, heardAt: now });
     for (const [name, { heardAt }] of this.#watchers) {
       if (now - heardAt > watcherRetention) {
