--- a/__tests__/control/engine-directory.test.ts
+++ b/__tests__/control/engine-directory.test.ts
@@ -20,15 +20,15 @@
    */
   it('change nothing when they say another load only', () => {
     const directory = new EngineDirectory();
-    expect(directory.take(createReport(1), 0)).toBe('changed');
-    expect(directory.take(createReport(2, { running: 17, waiting: 3 }), 500)).toBe('unchanged');
+    expect(directory.update(createReport(1), 0)).toBe('changed');
+    expect(directory.update(createReport(2, { running: 17, waiting: 3 }), 500)).toBe('unchanged');
     expect(directory.describe(500).get('h1')?.facts.reading?.running).toBe(17);
-    expect(directory.take(createReport(3, { slowdown: 4 }), 1000)).toBe('changed');
+    expect(directory.update(createReport(3, { slowdown: 4 }), 1000)).toBe('changed');
   });
 
   it('are late when a newer one of the same life came before', () => {
     const directory = new EngineDirectory();
-    directory.take(createReport(2), 0);
-    expect(directory.take(createReport(1, { slowdown: 4 }), 100)).toBe('late');
+    directory.update(createReport(2), 0);
+    expect(directory.update(createReport(1, { slowdown: 4 }), 100)).toBe('late');
   });
 });
--- a/__tests__/control/instance-tracker.test.ts
+++ b/__tests__/control/instance-tracker.test.ts
@@ -186,7 +186,7 @@
     const budget = new LoadBudget();
     expect(budget.countAllowed(engineProfile, 0)).toBe(6);
     for (let load = 0; load < 6; load += 1) {
-      budget.note({ host: `h${load}`, model: 'large' }, 0);
+      budget.recordOrdered({ host: `h${load}`, model: 'large' }, 0);
     }
     expect(budget.countAllowed(engineProfile, 1000)).toBe(0);
     expect(budget.countAllowed(engineProfile, 17_000)).toBe(0);
@@ -200,9 +200,9 @@
   it('has room again as soon as a load is over, and still keeps the rate', () => {
     const budget = new LoadBudget();
     for (let load = 0; load < 6; load += 1) {
-      budget.note({ host: `h${load}`, model: 'small' }, 0);
+      budget.recordOrdered({ host: `h${load}`, model: 'small' }, 0);
     }
-    budget.settle(({ host }) => host !== 'h1' && host !== 'h4');
+    budget.updateFinished(({ host }) => host !== 'h1' && host !== 'h4');
     const slowStore = { ...engineProfile, loadsPerSecond: 1.2 };
     expect(budget.countAllowed(slowStore, 4000)).toBe(0);
     expect(budget.countAllowed(engineProfile, 6000)).toBe(2);
--- a/__tests__/control/permit-book.test.ts
+++ b/__tests__/control/permit-allocator.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
 
-import { PermitBook, type PermitRequest } from '../../src/control/routing/index.js';
+import { PermitAllocator, type PermitRequest } from '../../src/control/routing/index.js';
 
 const upstream = 'i-1';
 
 function requestPermits(
-  allocator: PermitBook,
+  allocator: PermitAllocator,
   gateway: string,
   now: number,
   { wanted = 1, returned = 0, requestsPerSecond }: RequestOptions = {},
@@ -16,7 +16,7 @@
     wanted: new Map([[upstream, wanted]]),
     returned: new Map([[upstream, returned]]),
   };
-  return allocator.answer(request, now).permits.get(upstream) ?? 0;
+  return allocator.allocate(request, now).permits.get(upstream) ?? 0;
 }
 
 interface RequestOptions {
@@ -27,7 +27,7 @@
 
 describe('permits for an upstream with a rate limit', () => {
   it('are granted at the rate of the limit across gateways, starting from none', () => {
-    const allocator = new PermitBook();
+    const allocator = new PermitAllocator();
     expect(requestPermits(allocator, 'a', 0, { requestsPerSecond: 1 })).toBe(0);
     let granted = 0;
     for (let now = 125; now <= 20_000; now += 125) {
@@ -38,7 +38,7 @@
   });
 
   it('are granted to the longest-waiting gateway that still requests them', () => {
-    const allocator = new PermitBook();
+    const allocator = new PermitAllocator();
     requestPermits(allocator, 'a', 0, { requestsPerSecond: 2 });
     requestPermits(allocator, 'b', 10);
     expect([requestPermits(allocator, 'a', 500), requestPermits(allocator, 'b', 510)]).toEqual([
@@ -54,14 +54,14 @@
   });
 
   it('do not accumulate beyond the bucket capacity while none are requested', () => {
-    const allocator = new PermitBook();
+    const allocator = new PermitAllocator();
     requestPermits(allocator, 'a', 0, { requestsPerSecond: 4 });
     expect(requestPermits(allocator, 'a', 60_000, { wanted: 50 })).toBe(2);
     expect(requestPermits(allocator, 'a', 60_001, { wanted: 50 })).toBe(0);
   });
 
   it('are granted again after they are returned unused, at a bounded rate', () => {
-    const allocator = new PermitBook();
+    const allocator = new PermitAllocator();
     requestPermits(allocator, 'a', 0, { requestsPerSecond: 2 });
     expect(requestPermits(allocator, 'a', 1000, { wanted: 2 })).toBe(2);
     expect(requestPermits(allocator, 'a', 1001, { wanted: 2, returned: 1 })).toBe(1);
@@ -69,13 +69,13 @@
   });
 
   it('are not required after the limit has ended, even if a gateway reports an older limit', () => {
-    const allocator = new PermitBook();
+    const allocator = new PermitAllocator();
     requestPermits(allocator, 'a', 0, { requestsPerSecond: 2 });
     const ended = [{ upstream, requestsPerSecond: undefined, age: 10 }];
     const older = [{ upstream, requestsPerSecond: 2, age: 500 }];
     const nothing = { wanted: new Map(), returned: new Map() };
-    allocator.answer({ gateway: 'a', limits: ended, ...nothing }, 1000);
-    const { limits } = allocator.answer({ gateway: 'b', limits: older, ...nothing }, 1010);
+    allocator.allocate({ gateway: 'a', limits: ended, ...nothing }, 1000);
+    const { limits } = allocator.allocate({ gateway: 'b', limits: older, ...nothing }, 1010);
     expect(limits).toEqual([{ upstream, requestsPerSecond: undefined, age: 20 }]);
   });
 });
--- a/__tests__/control/routing-hub.test.ts
+++ b/__tests__/control/routing-hub.test.ts
@@ -151,7 +151,7 @@
     for (let version = 4; version <= 20; version += 1) {
       state = apply(state, putVersion(version));
       hub.publish(state.index, state.routing);
-      hub.sendSign({ ...status, leader: `10.0.0.1:${version}` });
+      hub.sendStatus({ ...status, leader: `10.0.0.1:${version}` });
     }
     queue.close();
     const told: string[] = [];
--- a/__tests__/direct/limit-world.ts
+++ b/__tests__/direct/limit-world.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, RandomSource } from '../../src/common/index.js';
-import { PermitBook, type PermitAnswer } from '../../src/control/routing/index.js';
+import { PermitAllocator, type PermitAnswer } from '../../src/control/routing/index.js';
 import { RequestPermits } from '../../src/gateway/direct/index.js';
 
 /** Simulates gateways that share the rate limit of an upstream through the leader of control. */
@@ -43,7 +43,7 @@
   readonly arrivals: Arrival[] = [];
   readonly gateways: readonly SimulatedGateway[];
   readonly #random: RandomSource;
-  #book = new PermitBook();
+  #allocator = new PermitAllocator();
   #delayed: DelayedCall[] = [];
 
   constructor(random: RandomSource, gatewayCount: number) {
@@ -56,7 +56,7 @@
 
   /** Replaces the leader with one that knows no limits. */
   changeLeader(): void {
-    this.#book = new PermitBook();
+    this.#allocator = new PermitAllocator();
   }
 
   restartGateway(gateway: SimulatedGateway): void {
@@ -112,7 +112,7 @@
       if (this.isLeaderless) {
         return;
       }
-      const answer: PermitAnswer = this.#book.answer({ gateway: name, ...report }, this.now);
+      const answer: PermitAnswer = this.#allocator.allocate({ gateway: name, ...report }, this.now);
       this.#schedule(this.#random.integerBelow(maximumDelay), () => {
         permits.applyGrant(answer, report.reportedAt, this.now);
       });
--- a/__tests__/engines/world.ts
+++ b/__tests__/engines/world.ts
@@ -267,7 +267,7 @@
     };
     const directory = this.#directory;
     this.#at(this.#options.random.integerBelow(30), () => {
-      directory.take(report, this.now);
+      directory.update(report, this.now);
     });
   }
 
@@ -408,7 +408,7 @@
   #recordLoads(staging: ReadonlyMap<string, string>): void {
     for (const [host, model] of staging) {
       if (this.hasTraffic && this.#staging.get(host) !== model) {
-        this.#loads.note({ host, model }, this.now);
+        this.#loads.recordOrdered({ host, model }, this.now);
       }
     }
     this.#staging = staging;
--- a/__tests__/watch/routing-world.ts
+++ b/__tests__/watch/routing-world.ts
@@ -134,7 +134,7 @@
     const state = this.#accepted[control.applied]?.state ?? initialRoutingState;
     control.hub.publish(control.applied, state);
     if (this.now % signInterval === 0) {
-      control.hub.sendSign(this.#describeSign(control));
+      control.hub.sendStatus(this.#describeSign(control));
     }
   }
 
--- a/src/control/routing/engine-directory.ts
+++ b/src/control/routing/engine-directory.ts
@@ -34,7 +34,7 @@
 export class EngineDirectory {
   readonly #engines = new Map<string, KnownEngine>();
 
-  take(report: ReceivedReport, now: Milliseconds): EngineReportVerdict {
+  update(report: ReceivedReport, now: Milliseconds): EngineReportVerdict {
     const { host, incarnation, sequence } = report;
     const known = this.#engines.get(host);
     const isSameIncarnation = known?.incarnation === incarnation;
--- a/src/control/routing/engine-loop.ts
+++ b/src/control/routing/engine-loop.ts
@@ -180,7 +180,7 @@
     if (profile === undefined) {
       return 0;
     }
-    this.#loadBudget.settle(({ host, model }) => mayBeLoading(engines.get(host), model));
+    this.#loadBudget.updateFinished(({ host, model }) => mayBeLoading(engines.get(host), model));
     return this.#loadBudget.countAllowed(profile, now);
   }
 
@@ -205,7 +205,7 @@
     if (input.hasTraffic) {
       for (const [host, model] of ordered) {
         if (this.#staging.get(host) !== model) {
-          this.#loadBudget.note({ host, model }, now);
+          this.#loadBudget.recordOrdered({ host, model }, now);
         }
       }
     }
--- a/src/control/routing/engine-report-service.ts
+++ b/src/control/routing/engine-report-service.ts
@@ -50,7 +50,7 @@
         throw new ConnectError('this control host is not the leader', Code.FailedPrecondition);
       }
       const report = decodeReport(message);
-      const verdict = this.#directory.take(report, this.#options.clock.monotonic());
+      const verdict = this.#directory.update(report, this.#options.clock.monotonic());
       if (verdict === 'factsMissing') {
         // A sidecar sends its facts first on every stream, so reconnecting supplies the missing facts.
         throw new ConnectError('facts of this host are not known here', Code.FailedPrecondition);
--- a/src/control/routing/index.ts
+++ b/src/control/routing/index.ts
@@ -11,7 +11,7 @@
 } from './instance-tracker.js';
 export { InstanceRecorder } from './instance-recorder.js';
 export { LoadBudget } from './load-budget.js';
-export { PermitBook, type PermitAnswer, type PermitRequest } from './permit-book.js';
+export { PermitAllocator, type PermitAnswer, type PermitRequest } from './permit-allocator.js';
 export { PlanPacing } from './plan-pacing.js';
 export { RoutingControl, type RoutingControlOptions } from './routing-control.js';
 export { RoutingHub, type ControlStatus } from './routing-hub.js';
--- a/src/control/routing/load-budget.ts
+++ b/src/control/routing/load-budget.ts
@@ -26,7 +26,7 @@
   #started: readonly StartedLoad[] = [];
 
   /** Records an ordered load. */
-  note(load: OrderedLoad, now: Milliseconds): void {
+  recordOrdered(load: OrderedLoad, now: Milliseconds): void {
     this.#started = [...this.#started, { ...load, at: now, isFinished: false }];
   }
 
@@ -34,7 +34,7 @@
    * Marks loads that have finished. If loads were counted for a fixed time instead, finished loads and loads of lost engines would
    * delay the loads of empty engines.
    */
-  settle(isLoading: (load: OrderedLoad) => boolean): void {
+  updateFinished(isLoading: (load: OrderedLoad) => boolean): void {
     for (const load of this.#started) {
       load.isFinished ||= !isLoading(load);
     }
--- a/src/control/routing/permit-book.ts
+++ b/src/control/routing/permit-allocator.ts
@@ -34,11 +34,11 @@
 }
 
 /** Keeps one token bucket per rate-limited upstream, because a fixed share of a low limit can be far below one request per gateway. */
-export class PermitBook {
+export class PermitAllocator {
   readonly #limits = new UpstreamLimits();
   readonly #buckets = new Map<string, PermitBucket>();
 
-  answer({ gateway, limits, wanted, returned }: PermitRequest, now: Milliseconds): PermitAnswer {
+  allocate({ gateway, limits, wanted, returned }: PermitRequest, now: Milliseconds): PermitAnswer {
     this.#limits.merge(limits, now);
     const permits = new Map<string, number>();
     for (const [upstream, count] of returned) {
--- a/src/control/routing/routing-control.ts
+++ b/src/control/routing/routing-control.ts
@@ -45,7 +45,7 @@
 import { InstanceTracker } from './instance-tracker.js';
 import { InstanceRecorder } from './instance-recorder.js';
 import { LeaderClient } from './leader-client.js';
-import { PermitBook } from './permit-book.js';
+import { PermitAllocator } from './permit-allocator.js';
 import { RoutingHub, type ControlStatus } from './routing-hub.js';
 
 /** Routing on a control host: routing documents, instance announcements, engine groups, and watches. */
@@ -84,7 +84,7 @@
   readonly #recorder: InstanceRecorder;
   readonly #crashes: CrashRecorder;
   readonly #demand = new DemandEstimator();
-  readonly #permits = new PermitBook();
+  readonly #permits = new PermitAllocator();
   readonly #reports: EngineReportService;
   readonly #leaderClient: LeaderClient;
   readonly #engines: EngineLoop;
@@ -122,7 +122,7 @@
 
   open(): void {
     this.#timer = setInterval(() => {
-      this.#hub.sendSign(this.#describeStatus());
+      this.#hub.sendStatus(this.#describeStatus());
       this.#removeSilent();
       this.#crashes.expire();
       this.#permits.retain(listIdentities(this.#options.readState().routing));
@@ -173,7 +173,7 @@
     this.#demand.clear();
     this.#permits.clear();
     this.#engines.resetLeaderState();
-    this.#hub.sendSign(status);
+    this.#hub.sendStatus(status);
   }
 
   /** Name of the leader; undefined if there is none. */
@@ -233,7 +233,7 @@
     const { gateway, requests, limits, wanted, returned } = report;
     const now = this.#options.clock.monotonic();
     this.#demand.recordReport(gateway, new Map(Object.entries(requests)), now);
-    const allocated = this.#permits.answer(
+    const allocated = this.#permits.allocate(
       {
         gateway,
         limits: decodeUpstreamLimits(limits),
--- a/src/control/routing/routing-hub.ts
+++ b/src/control/routing/routing-hub.ts
@@ -76,7 +76,7 @@
     this.#send(changes);
   }
 
-  sendSign(status: ControlStatus): void {
+  sendStatus(status: ControlStatus): void {
     this.#send([describeStatus(status)]);
   }
 
