--- a/__tests__/engines/world.ts
+++ b/__tests__/engines/engine-simulation.ts
@@ -83,26 +83,26 @@
 }
 
 /** Size of the simulated system and the faults in it. */
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly random: RandomSource;
   readonly hostCount: number;
   readonly domainSize: number;
   /** Fraction of the orders that get no answer and are executed seconds later. */
-  readonly lateOrders: number;
+  readonly lateOrderShare: number;
   /** Demand in concurrent requests, by model, once there is traffic. */
   readonly demand?: ReadonlyMap<string, number>;
   /** Injects a fault into each decision, to show that the checks detect it. */
   readonly mutate?: (decision: EngineDecision, groups: readonly EngineGroup[]) => EngineDecision;
 }
 
-export class EngineWorld {
+export class EngineSimulation {
   readonly violations: string[] = [];
   readonly hosts: SimulatedHost[] = [];
   now: Milliseconds = 0;
   /** Once set, loads take their full time and are limited. */
   hasTraffic = false;
   state: ControlState;
-  readonly #options: WorldOptions;
+  readonly #options: SimulationOptions;
   #scheduled: Scheduled[] = [];
   #directory = new EngineDirectory();
   #phases = new Map<string, { readonly phase: string; readonly since: Milliseconds }>();
@@ -112,7 +112,7 @@
   readonly #loads = new LoadBudget();
   #staging: ReadonlyMap<string, string> = new Map();
 
-  constructor(options: WorldOptions) {
+  constructor(options: SimulationOptions) {
     this.#options = options;
     for (let index = 0; index < options.hostCount; index += 1) {
       const domain = `d${Math.floor(index / options.domainSize)}`;
@@ -272,7 +272,7 @@
   }
 
   #send(engine: SimulatedEngine, order: EngineOrder): void {
-    const isLate = this.#options.random.fraction() < this.#options.lateOrders;
+    const isLate = this.#options.random.fraction() < this.#options.lateOrderShare;
     const delay = isLate ? 2000 + this.#options.random.integerBelow(10_000) : 0;
     this.#at(delay, () => {
       this.#executeOrder(engine, order);
--- a/__tests__/engines/fixtures.ts
+++ b/__tests__/engines/fixtures.ts
@@ -40,7 +40,7 @@
     reading,
     lastModel,
   };
-  return [host, { host, facts, silence: 0 }];
+  return [host, { host, facts, reportAge: 0 }];
 }
 
 function describeMembership(host: string, { name, fencingNumber, members }: EngineGroup) {
--- a/__tests__/engines/histories.test.ts
+++ b/__tests__/engines/histories.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { createRandomSource, type RandomSource } from '../../src/common/index.js';
-import { EngineWorld, type WorldOptions } from './world.js';
+import { EngineSimulation, type SimulationOptions } from './engine-simulation.js';
 
 /** Number of random histories per test; the environment variable sets a larger number for manual runs. */
 const histories = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? '40');
@@ -15,7 +15,7 @@
   return item;
 }
 
-function injectFault(simulation: EngineWorld, random: RandomSource): void {
+function injectFault(simulation: EngineSimulation, random: RandomSource): void {
   const host = pickRandom(random, simulation.hosts);
   switch (random.integerBelow(8)) {
     case 0:
@@ -40,11 +40,11 @@
   }
 }
 
-function runHistory(seed: number, mutate?: WorldOptions['mutate']): EngineWorld {
+function runHistory(seed: number, mutate?: SimulationOptions['mutate']): EngineSimulation {
   const random = createRandomSource(seed);
   const mutation = mutate === undefined ? {} : { mutate };
-  const options = { random, hostCount: 20, domainSize: 10, lateOrders: 0.15, ...mutation };
-  const simulation = new EngineWorld(options);
+  const options = { random, hostCount: 20, domainSize: 10, lateOrderShare: 0.15, ...mutation };
+  const simulation = new EngineSimulation(options);
   simulation.run(6000);
   for (let fault = 0; fault < faultsPerHistory; fault += 1) {
     injectFault(simulation, random);
@@ -69,7 +69,7 @@
     }
   });
 
-  it.each<readonly [string, NonNullable<WorldOptions['mutate']>]>([
+  it.each<readonly [string, NonNullable<SimulationOptions['mutate']>]>([
     [
       'frees the engines of a closing group before its head is closed',
       (decision, groups) => ({
@@ -118,7 +118,7 @@
 
   it('forms groups of both models before the first request', () => {
     const random = createRandomSource(7);
-    const simulation = new EngineWorld({ random, hostCount: 30, domainSize: 10, lateOrders: 0 });
+    const simulation = new EngineSimulation({ random, hostCount: 30, domainSize: 10, lateOrderShare: 0 });
     simulation.run(6000);
     const models = new Set(simulation.openGroups.map(({ model }) => model));
     expect([...models].sort()).toEqual(['large', 'small']);
--- a/__tests__/engines/restarts.test.ts
+++ b/__tests__/engines/restarts.test.ts
@@ -4,7 +4,7 @@
 import type { EngineView } from '../../src/engines/index.js';
 import type { EngineReading } from '../../src/routing/index.js';
 import { createEngineView, createGroupView, createMembers, planGroups } from './fixtures.js';
-import { EngineWorld } from './world.js';
+import { EngineSimulation } from './engine-simulation.js';
 
 /** Number of random histories per test; the environment variable sets a larger number for manual runs. */
 const histories = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? '20');
@@ -83,8 +83,8 @@
 }
 
 /** Restarts members of open groups under their ids, sometimes together with a sidecar restart or a change of leader. */
-function runHistory(random: RandomSource): EngineWorld {
-  const simulation = new EngineWorld({ random, hostCount: 20, domainSize: 10, lateOrders: 0.1 });
+function runHistory(random: RandomSource): EngineSimulation {
+  const simulation = new EngineSimulation({ random, hostCount: 20, domainSize: 10, lateOrderShare: 0.1 });
   simulation.run(6000);
   for (let restart = 0; restart < restartsPerHistory; restart += 1) {
     const serving = new Set(
--- a/__tests__/engines/settling.test.ts
+++ b/__tests__/engines/settling.test.ts
@@ -17,7 +17,7 @@
     Array.from({ length: answering + missing }, (_, index): [string, EngineView] => {
       const isAnswering = index < answering;
       const host = `h${index}`;
-      return [host, { host, silence: 0, facts: isAnswering ? { ...facts, reading } : facts }];
+      return [host, { host, reportAge: 0, facts: isAnswering ? { ...facts, reading } : facts }];
     }),
   );
 }
--- a/__tests__/engines/survivors.test.ts
+++ b/__tests__/engines/survivors.test.ts
@@ -185,7 +185,7 @@
   function drainWith(running: number, silence: number) {
     const idle = (view: EngineView): EngineView => {
       const reading = view.facts.reading && { ...view.facts.reading, running };
-      return { ...view, silence, facts: { ...view.facts, ...(reading && { reading }) } };
+      return { ...view, reportAge: silence, facts: { ...view.facts, ...(reading && { reading }) } };
     };
     const engines = new Map(
       members.map(createEngineView).map(([host, view]) => [host, idle(view)]),
--- a/__tests__/engines/unknown-engines.test.ts
+++ b/__tests__/engines/unknown-engines.test.ts
@@ -4,7 +4,7 @@
 import type { EngineView } from '../../src/engines/index.js';
 import { InstanceSet, type EngineAbsence, type EnginePhase } from '../../src/routing/index.js';
 import { createEngineView, createGroupView, createMembers, planGroups } from './fixtures.js';
-import { EngineWorld } from './world.js';
+import { EngineSimulation } from './engine-simulation.js';
 
 /** Number of random histories per test; the environment variable sets a larger number for manual runs. */
 const histories = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? '20');
@@ -23,7 +23,7 @@
   it('does not affect the group of the engine', () => {
     for (let seed = 1; seed <= histories; seed += 1) {
       const random = createRandomSource(seed);
-      const simulation = new EngineWorld({ random, hostCount: 20, domainSize: 10, lateOrders: 0 });
+      const simulation = new EngineSimulation({ random, hostCount: 20, domainSize: 10, lateOrderShare: 0 });
       simulation.run(6000);
       const before = simulation.openGroups.map(({ name }) => name);
       for (let restart = 0; restart < restartsPerHistory; restart += 1) {
@@ -44,7 +44,7 @@
 function createAbsentView(host: string, absence: EngineAbsence): [string, EngineView] {
   const [, { facts }] = createEngineView({ host, lastModel: 'small', staged: 'large' });
   const { failureDomain, address, service } = facts;
-  return [host, { host, facts: { failureDomain, address, service, absence }, silence: 0 }];
+  return [host, { host, facts: { failureDomain, address, service, absence }, reportAge: 0 }];
 }
 
 interface AbsentMember {
@@ -117,7 +117,7 @@
 });
 
 /** Makes an engine hang or unidentifiable, restarts its sidecar so that it reports first, restarts an engine, or changes the leader. */
-function injectFault(simulation: EngineWorld, random: RandomSource): void {
+function injectFault(simulation: EngineSimulation, random: RandomSource): void {
   const host = simulation.hosts[random.integerBelow(simulation.hosts.length)];
   if (host === undefined) {
     return;
@@ -146,11 +146,11 @@
   it('are never split, and serve again once the engines answer', () => {
     for (let seed = 1; seed <= histories; seed += 1) {
       const random = createRandomSource(seed);
-      const simulation = new EngineWorld({
+      const simulation = new EngineSimulation({
         random,
         hostCount: 20,
         domainSize: 10,
-        lateOrders: 0.1,
+        lateOrderShare: 0.1,
       });
       simulation.run(6000);
       for (let fault = 0; fault < faultsPerHistory; fault += 1) {
--- a/bench/engines/loss-day.ts
+++ b/bench/engines/loss-day.ts
@@ -1,5 +1,5 @@
 import { createRandomSource, type Milliseconds } from '../../src/common/index.js';
-import { EngineWorld } from '../../__tests__/engines/world.js';
+import { EngineSimulation } from '../../__tests__/engines/engine-simulation.js';
 
 /** A minute in which an engine of a group is lost for good every three seconds, a fabric domain once, and empty engines come. */
 
@@ -26,7 +26,7 @@
 export function playLossDay(seed: number, demand: ReadonlyMap<string, number>): DayResult {
   const random = createRandomSource(seed);
   const hostCount = domains.length * domainSize;
-  const world = new EngineWorld({ random, hostCount, domainSize, lateOrders: 0.02, demand });
+  const world = new EngineSimulation({ random, hostCount, domainSize, lateOrderShare: 0.02, demand });
   world.run(calm);
   world.hasTraffic = true;
   const startedAt = world.now;
@@ -49,14 +49,14 @@
   return { served, violations: world.violations.length };
 }
 
-function isWhole(world: EngineWorld, group: EngineWorld['openGroups'][number]): boolean {
+function isWhole(world: EngineSimulation, group: EngineSimulation['openGroups'][number]): boolean {
   return group.members.every(({ instance }) =>
     world.hosts.some(({ engine }) => engine.isAlive && engine.instance === instance.id),
   );
 }
 
 /** What happens at this moment of the day. */
-function strike(world: EngineWorld, at: Milliseconds, draw: number): void {
+function strike(world: EngineSimulation, at: Milliseconds, draw: number): void {
   const number = Math.floor(at / lossInterval);
   const domain = domains[number % domains.length] ?? '';
   const isDue = at % lossInterval === 0 && at > 0;
@@ -70,9 +70,9 @@
 
 /** Loses all engines of a domain for a while; those that were lost for good before do not come back. */
 class DomainLoss {
-  #lost: readonly EngineWorld['hosts'][number][] = [];
+  #lost: readonly EngineSimulation['hosts'][number][] = [];
 
-  strike(world: EngineWorld, at: Milliseconds): void {
+  strike(world: EngineSimulation, at: Milliseconds): void {
     if (at === domainLostAt) {
       this.#lost = world.hosts.filter(
         ({ domain, engine }) => domain === domains[0] && engine.isAlive,
@@ -89,7 +89,7 @@
   }
 }
 
-function loseMember(world: EngineWorld, domain: string, draw: number): void {
+function loseMember(world: EngineSimulation, domain: string, draw: number): void {
   const members = new Set(
     world.openGroups.flatMap((group) => group.members.map(({ instance }) => instance.id)),
   );
--- a/src/control/routing/describe-decision.ts
+++ b/src/control/routing/describe-decision.ts
@@ -40,9 +40,9 @@
   if (view === undefined) {
     return 'none';
   }
-  const { facts, silence } = view;
+  const { facts, reportAge } = view;
   const { reading, absence } = facts;
-  const age = `${Math.round(silence)} ms ago`;
+  const age = `${Math.round(reportAge)} ms ago`;
   if (reading === undefined) {
     return `${absence ?? 'no engine'}, ${age}`;
   }
--- a/src/control/routing/engine-directory.ts
+++ b/src/control/routing/engine-directory.ts
@@ -54,12 +54,12 @@
   describe(now: Milliseconds): ReadonlyMap<string, EngineView> {
     const views = new Map<string, EngineView>();
     for (const [host, { facts, receivedAt }] of this.#engines) {
-      const silence = now - receivedAt;
-      if (silence > reportRetention) {
+      const reportAge = now - receivedAt;
+      if (reportAge > reportRetention) {
         this.#engines.delete(host);
         continue;
       }
-      views.set(host, { host, facts, silence });
+      views.set(host, { host, facts, reportAge });
     }
     return views;
   }
--- a/src/control/routing/engine-loop.ts
+++ b/src/control/routing/engine-loop.ts
@@ -3,7 +3,7 @@
 import type { Clock, Milliseconds } from '../../common/index.js';
 import type { ReplicatedLog } from '../../consensus/index.js';
 import {
-  judgeEngine,
+  determineEngineStatus,
   planEngineGroups,
   Settling,
   type EngineDecision,
@@ -239,7 +239,7 @@
  * is not waited for.
  */
 function mayBeLoading(view: EngineView | undefined, model: string): boolean {
-  const standing = judgeEngine(view);
+  const standing = determineEngineStatus(view);
   switch (standing.type) {
     case 'answering':
       return !standing.reading.staged.includes(model);
--- a/src/engines/engine-status.ts
+++ b/src/engines/engine-status.ts
@@ -25,8 +25,8 @@
  * Only a refused connection shows that an engine has ended. A report without a reading must not count as its end: that would free
  * engines of a group whose head is still open. They would join another group, and answers would come from a part of the model.
  */
-export function judgeEngine(view: EngineView | undefined): EngineStatus {
-  if (view === undefined || view.silence > maximumReportAge) {
+export function determineEngineStatus(view: EngineView | undefined): EngineStatus {
+  if (view === undefined || view.reportAge > maximumReportAge) {
     return { type: 'unknown' };
   }
   const { reading, absence = 'notAsked' } = view.facts;
--- a/src/engines/group-transitions.ts
+++ b/src/engines/group-transitions.ts
@@ -5,7 +5,7 @@
   type EngineMember,
   type EngineMembership,
 } from '../routing/index.js';
-import { judgeEngine } from './engine-status.js';
+import { determineEngineStatus } from './engine-status.js';
 import type { EngineView, GroupAdvance, GroupRemoval, GroupView, PlannerInput } from './types.js';
 
 /** Decides the next phase of each placed group, or its removal. */
@@ -70,7 +70,7 @@
   input: PlannerInput,
 ): MemberStatus {
   const view = input.engines.get(member.host);
-  const status = judgeEngine(view);
+  const status = determineEngineStatus(view);
   switch (status.type) {
     case 'unknown':
       return 'unknown';
@@ -156,7 +156,7 @@
     return advance(group, 'draining', 'a member is shutting down');
   }
   const head = findHead(group, input);
-  if (judgeEngine(head).type !== 'answering') {
+  if (determineEngineStatus(head).type !== 'answering') {
     return keep;
   }
   switch (findMembership(group, head)?.state) {
@@ -203,7 +203,7 @@
 ): GroupTransition {
   const [head] = group.members;
   const view = findHead(group, input);
-  const status = judgeEngine(view);
+  const status = determineEngineStatus(view);
   switch (status.type) {
     case 'unknown':
     case 'silent':
@@ -244,7 +244,7 @@
  * group based on it would interrupt the requests that were sent since.
  */
 function isIdleSince(head: EngineView | undefined, phaseAge: Milliseconds): boolean {
-  if (head === undefined || head.silence + drainPropagationTime > phaseAge) {
+  if (head === undefined || head.reportAge + drainPropagationTime > phaseAge) {
     return false;
   }
   const { reading } = head.facts;
--- a/src/engines/index.ts
+++ b/src/engines/index.ts
@@ -1,4 +1,4 @@
-export { judgeEngine } from './engine-status.js';
+export { determineEngineStatus } from './engine-status.js';
 export { planEngineGroups } from './plan.js';
 export { Settling } from './settling.js';
 export type {
--- a/src/engines/plan.ts
+++ b/src/engines/plan.ts
@@ -1,7 +1,7 @@
 import type { EnginePhase, RoutedService } from '../routing/index.js';
 import { formGroups } from './form-groups.js';
 import { ModelNeeds } from './model-needs.js';
-import { judgeEngine } from './engine-status.js';
+import { determineEngineStatus } from './engine-status.js';
 import { decideTransition } from './group-transitions.js';
 import { findAvailableEngines, findSlowGroups } from './available-engines.js';
 import { chooseStaging } from './staging.js';
@@ -108,7 +108,7 @@
 function toAnsweringEngine(view: EngineView, input: PlannerInput): AnsweringEngine | undefined {
   const { facts, host } = view;
   const { address, service, lastModel } = facts;
-  const status = judgeEngine(view);
+  const status = determineEngineStatus(view);
   if (status.type !== 'answering' || input.leaving.has(status.reading.instance)) {
     return undefined;
   }
--- a/src/engines/types.ts
+++ b/src/engines/types.ts
@@ -16,7 +16,7 @@
   readonly host: string;
   readonly facts: EngineFacts;
   /** Time since the last report. */
-  readonly silence: Milliseconds;
+  readonly reportAge: Milliseconds;
 }
 
 /** A placed group and how long it has been in its phase, as far as this leader knows. */
--- a/src/gateway/reach.ts
+++ b/src/gateway/reach.ts
@@ -4,7 +4,7 @@
   type Configuration,
   type Group,
   type Offer,
-  type Reach,
+  type AccessPolicy,
   type ServiceName,
   type WatchedState,
 } from '../model/index.js';
@@ -64,7 +64,7 @@
   return [...names].sort();
 }
 
-function findReach(group: Group, configuration: Configuration): Reach | undefined {
+function findReach(group: Group, configuration: Configuration): AccessPolicy | undefined {
   const { offer } = group;
   const declarations =
     offer.type === 'service'
--- a/src/model/configuration.ts
+++ b/src/model/configuration.ts
@@ -21,11 +21,11 @@
   /** Desired number of groups; undefined for as many as the hosts allow. */
   readonly replicas: number | undefined;
   readonly carries: Artifact;
-  readonly reachableBy: Reach;
+  readonly reachableBy: AccessPolicy;
 }
 
 /** Who may send requests to a group or service: client accounts, selected by label, and plain services, listed by name. */
-export interface Reach {
+export interface AccessPolicy {
   readonly accounts: Selector;
   /** Names of plain services that may send requests with their own key. */
   readonly services: readonly ServiceName[];
@@ -35,7 +35,7 @@
 export interface ServiceDeclaration {
   readonly name: ServiceName;
   readonly hosts: Selector;
-  readonly reachableBy: Reach;
+  readonly reachableBy: AccessPolicy;
   /** Whether requests are non-idempotent unless they specify otherwise. */
   readonly nonIdempotentByDefault: boolean;
   /** Number of requests that one upstream accepts concurrently. */
--- a/src/model/index.ts
+++ b/src/model/index.ts
@@ -13,7 +13,7 @@
   GroupDeclaration,
   Objective,
   Policy,
-  Reach,
+  AccessPolicy,
   ServiceDeclaration,
 } from './configuration.js';
 export {
