--- a/__tests__/gateway/decisions.test.ts
+++ b/__tests__/gateway/decisions.test.ts
@@ -5,7 +5,7 @@
 import { EventFramer } from '../../src/gateway/event-framer.js';
 import {
   defaultRequestLimits,
-  LoadBook,
+  LoadTracker,
   RequestController,
   RetryBudget,
   Router,
@@ -32,7 +32,7 @@
 }
 
 /** Number of keys, out of 2000, that each group gets. */
-function spread(loads: LoadBook, now = 0): ReadonlyMap<string, number> {
+function spread(loads: LoadTracker, now = 0): ReadonlyMap<string, number> {
   const router = new Router(() => state, loads);
   const counts = new Map<string, number>();
   for (let key = 0; key < 2000; key += 1) {
@@ -45,14 +45,14 @@
 
 describe('routing', () => {
   it('spreads keys evenly and gives the same group for the same key', () => {
-    const counts = [...spread(new LoadBook()).values()];
+    const counts = [...spread(new LoadTracker()).values()];
     expect(counts).toHaveLength(numbers.length);
     expect(Math.min(...counts)).toBeGreaterThan(400);
-    expect(spread(new LoadBook())).toEqual(spread(new LoadBook()));
+    expect(spread(new LoadTracker())).toEqual(spread(new LoadTracker()));
   });
 
   it('leaves a group that is far above the mean load to others', () => {
-    const loads = new LoadBook();
+    const loads = new LoadTracker();
     numbers.forEach((number) => {
       loads.noteReport(`assist/${number}`, { ...load, running: number === 1 ? 8 : 1 }, 0);
     });
@@ -62,7 +62,7 @@
   });
 
   it('takes keys from a straggler, but not all', () => {
-    const loads = new LoadBook();
+    const loads = new LoadTracker();
     numbers.forEach((number) => {
       loads.noteFirstToken(`assist/${number}`, number === 1 ? 2000 : 200);
     });
@@ -72,7 +72,7 @@
   });
 
   it('avoids a group that did not answer for a while, longer each time', () => {
-    const loads = new LoadBook();
+    const loads = new LoadTracker();
     loads.noteFailure('assist/1', 0);
     expect(loads.isAvoided('assist/1', 499)).toBe(true);
     expect(loads.isAvoided('assist/1', 500)).toBe(false);
@@ -86,7 +86,7 @@
   // that preferred it was then sent there until the first had failed, and callers repeatedly waited two seconds for
   // their first token.
   it('sends one probe to a group that did not answer, until it answers', () => {
-    const loads = new LoadBook();
+    const loads = new LoadTracker();
     loads.noteFailure('assist/1', 0);
     loads.noteStarted('assist/1', 500);
     expect(loads.isAvoided('assist/1', 501)).toBe(true);
@@ -95,7 +95,7 @@
   });
 
   it('finds no group for an account that may reach none', () => {
-    const router = new Router(() => ({ ...state, configuration }), new LoadBook());
+    const router = new Router(() => ({ ...state, configuration }), new LoadTracker());
     const decision = router.choose({ ...routeQuery('key'), account: 'guest' }, new Set(), 0);
     expect(decision).toEqual({ type: 'none', code: 'notReachable' });
   });
@@ -172,7 +172,7 @@
     readonly request: RequestController;
     readonly retryBudget: RetryBudget;
   } {
-    const loads = new LoadBook();
+    const loads = new LoadTracker();
     const random = createRandomSource(1);
     const router = new Router(() => state, loads);
     const retryBudget = new RetryBudget();
--- a/bench/requests/fake-gateway.ts
+++ b/bench/requests/fake-gateway.ts
@@ -6,7 +6,7 @@
   ResultCodeName,
 } from '../../src/common/index.js';
 import {
-  LoadBook,
+  LoadTracker,
   RetryBudget,
   Router,
   type AttemptTarget,
@@ -14,7 +14,7 @@
   type RequestEvent,
   type RequestFacts,
   type RequestLimits,
-  type RequestSurroundings,
+  type RequestDependencies,
 } from '../../src/gateway/index.js';
 import type { AttemptName, AttemptOrder, WatchedState } from '../../src/model/index.js';
 import type { AttemptMessage } from '../../src/sidecar/attempts/index.js';
@@ -26,7 +26,7 @@
 /** Makes the decisions on one request. */
 export type CreateRequest = (
   facts: RequestFacts,
-  surroundings: RequestSurroundings,
+  surroundings: RequestDependencies,
 ) => Controller<RequestEvent, RequestEffect>;
 
 /** What a caller got, as it came. */
@@ -69,14 +69,14 @@
 /** A gateway's decisions on many requests, with its connections to sidecars. */
 export class FakeGateway {
   readonly #shared: GatewaySurroundings;
-  readonly #surroundings: RequestSurroundings;
+  readonly #surroundings: RequestDependencies;
   readonly #connections = new Map<string, FakeConnection>();
   #open = new Set<OpenRequest>();
   #isDead = false;
 
   constructor(shared: GatewaySurroundings) {
     this.#shared = shared;
-    const loads = new LoadBook();
+    const loads = new LoadTracker();
     this.#surroundings = {
       router: new Router(shared.readState, loads),
       loads,
--- a/bench/requests/measure-cores.ts
+++ b/bench/requests/measure-cores.ts
@@ -2,12 +2,12 @@
 import { createRandomSource } from '../../src/common/index.js';
 import {
   defaultRequestLimits,
-  LoadBook,
+  LoadTracker,
   RequestController,
   RetryBudget,
   Router,
   type RequestFacts,
-  type RequestSurroundings,
+  type RequestDependencies,
 } from '../../src/gateway/index.js';
 import { formatAttemptName, type AttemptOrder, type WatchedState } from '../../src/model/index.js';
 import { AttemptController, createRequestId } from '../../src/sidecar/attempts/index.js';
@@ -92,14 +92,14 @@
   return heapUsed + arrayBuffers;
 }
 
-function createSurroundings(): RequestSurroundings {
+function createSurroundings(): RequestDependencies {
   const state: WatchedState = createWorld('pistachiospoke', {
     seed: 1,
     gateways: 1,
     sidecars: groups,
     concurrency: 64,
   }).state;
-  const loads = new LoadBook();
+  const loads = new LoadTracker();
   return {
     loads,
     router: new Router(() => state, loads),
@@ -109,7 +109,7 @@
   };
 }
 
-function createRequest(shared: RequestSurroundings): RequestController {
+function createRequest(shared: RequestDependencies): RequestController {
   const facts: RequestFacts = {
     id: createRequestId(1, 'request'),
     account: 'small',
@@ -127,7 +127,7 @@
   return new RequestController(facts, shared);
 }
 
-function playRequest(shared: RequestSurroundings, withTokens: number): void {
+function playRequest(shared: RequestDependencies, withTokens: number): void {
   const request = createRequest(shared);
   request.handle({ type: 'arrived', now: 0 });
   request.handle({ type: 'accepted', stream: 1, now: 1, load });
@@ -151,7 +151,7 @@
   };
 }
 
-function holdRequests(shared: RequestSurroundings): unknown {
+function holdRequests(shared: RequestDependencies): unknown {
   return Array.from({ length: rounds }, () => {
     const request = createRequest(shared);
     request.handle({ type: 'arrived', now: 0 });
--- a/bench/requests/naive.ts
+++ b/bench/requests/naive.ts
@@ -5,7 +5,7 @@
   RequestEffect,
   RequestEvent,
   RequestFacts,
-  RequestSurroundings,
+  RequestDependencies,
 } from '../../src/gateway/index.js';
 import { formatAttemptName, type AttemptOrder, type GroupName } from '../../src/model/index.js';
 import type { AttemptEffect, AttemptEvent } from '../../src/sidecar/attempts/index.js';
@@ -20,7 +20,7 @@
  */
 export class NaiveRequest implements Controller<RequestEvent, RequestEffect> {
   readonly #facts: RequestFacts;
-  readonly #shared: RequestSurroundings;
+  readonly #shared: RequestDependencies;
   readonly #tried = new Set<GroupName>();
   #target: AttemptTarget | undefined;
   #attempts = 0;
@@ -28,7 +28,7 @@
   #hasBytes = false;
   #isDone = false;
 
-  constructor(facts: RequestFacts, surroundings: RequestSurroundings) {
+  constructor(facts: RequestFacts, surroundings: RequestDependencies) {
     this.#facts = facts;
     this.#shared = surroundings;
   }
--- a/bench/steps/request-steps.ts
+++ b/bench/steps/request-steps.ts
@@ -1,5 +1,5 @@
 /** Steps of the request path: gateway, router, sidecar. */
-import { RequestController, Router, LoadBook } from '../../src/gateway/index.js';
+import { RequestController, Router, LoadTracker } from '../../src/gateway/index.js';
 import type { Group, GroupName, WatchedGroup, WatchedState } from '../../src/model/index.js';
 import { AttemptController, defaultAttemptLimits } from '../../src/sidecar/attempts/index.js';
 import { createLargeConfiguration } from '../capacity/fixtures.js';
@@ -51,7 +51,7 @@
 /** One choice among 150 groups of one model. */
 export function measureRouterStep(): readonly string[] {
   const state = createWatchedState(groupCount);
-  const router = new Router(() => state, new LoadBook());
+  const router = new Router(() => state, new LoadTracker());
   const account = state.configuration.accounts[0]?.name ?? '';
   const meter = measureRepeatedly(routeRepeats, (turn) =>
     router.choose(
--- a/src/gateway/attempt-follower.ts
+++ b/src/gateway/attempt-follower.ts
@@ -7,7 +7,7 @@
 import type { AttemptState, Load } from '../model/index.js';
 import type { AnswerAssembler } from './answer-assembler.js';
 import type { RequestLimits } from './limits.js';
-import type { LoadBook } from './load-book.js';
+import type { LoadTracker } from './load-tracker.js';
 import type { AttemptTarget, RequestEffect, StreamEvent, StreamNumber } from './messages.js';
 import { FollowLifecycle } from './request-machine.js';
 
@@ -38,7 +38,7 @@
 
 export interface FollowDependencies {
   readonly answer: AnswerAssembler;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly limits: RequestLimits;
 }
 
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,6 +1,6 @@
 export type { ClaimClient, ClaimOutcome, ClaimRequest, ClaimSettlement } from './claims.js';
 export { defaultRequestLimits, type RequestLimits } from './limits.js';
-export { LoadBook } from './load-book.js';
+export { LoadTracker } from './load-tracker.js';
 export type {
   AttemptTarget,
   RequestEffect,
@@ -9,7 +9,7 @@
   StreamEvent,
 } from './messages.js';
 export { noMetrics, type Metrics, type MetricTags } from './metrics.js';
-export { RequestController, type RequestSurroundings } from './request-controller.js';
+export { RequestController, type RequestDependencies } from './request-controller.js';
 export { RetryBudget } from './retry-budget.js';
 export { Router, type RouteQuery, type RouteDecision } from './router.js';
 export { createGateway, Gateway } from './shell/gateway.js';
--- a/src/gateway/load-book.ts
+++ b/src/gateway/load-tracker.ts
@@ -29,7 +29,7 @@
  * Tracks the load and health of each group as one gateway sees them. Its own attempts are counted immediately; those of
  * other gateways are known only from delayed reports. Nothing is broadcast: sidecars attach their load to answers.
  */
-export class LoadBook {
+export class LoadTracker {
   readonly #entries = new Map<GroupName, GroupLoad>();
 
   /**
--- a/src/gateway/request-controller.ts
+++ b/src/gateway/request-controller.ts
@@ -12,7 +12,7 @@
 import { AttemptFollower, type FollowResult } from './attempt-follower.js';
 import type { ClaimOutcome } from './claims.js';
 import type { RequestLimits } from './limits.js';
-import type { LoadBook } from './load-book.js';
+import type { LoadTracker } from './load-tracker.js';
 import type {
   AttemptTarget,
   RequestEffect,
@@ -27,9 +27,9 @@
 type EventOf<Type extends RequestEvent['type']> = Extract<RequestEvent, { readonly type: Type }>;
 
 /** Dependencies shared by the requests of one gateway. */
-export interface RequestSurroundings {
+export interface RequestDependencies {
   readonly router: Router;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly retryBudget: RetryBudget;
   readonly random: RandomSource;
   readonly limits: RequestLimits;
@@ -66,7 +66,7 @@
  */
 export class RequestController implements Controller<RequestEvent, RequestEffect> {
   readonly #facts: RequestFacts;
-  readonly #dependencies: RequestSurroundings;
+  readonly #dependencies: RequestDependencies;
   readonly #lifecycle = new RequestLifecycle();
   readonly #answer: AnswerAssembler;
   readonly #tried = new Set<GroupName>();
@@ -78,7 +78,7 @@
   #mayEarlierAttemptHaveRun = false;
   #claim: 'none' | 'asked' | 'held' | 'refused' = 'none';
 
-  constructor(facts: RequestFacts, dependencies: RequestSurroundings) {
+  constructor(facts: RequestFacts, dependencies: RequestDependencies) {
     this.#facts = facts;
     this.#dependencies = dependencies;
     this.#answer = new AnswerAssembler(dependencies.limits.maximumAnswerBytes);
--- a/src/gateway/router.ts
+++ b/src/gateway/router.ts
@@ -8,7 +8,7 @@
   type WatchedGroup,
   type WatchedState,
 } from '../model/index.js';
-import type { LoadBook } from './load-book.js';
+import type { LoadTracker } from './load-tracker.js';
 import type { AttemptTarget } from './messages.js';
 import { isOffered, isReachable, type RequestedOffer } from './reach.js';
 import { rankByRendezvous, type WeightedCandidate } from './rendezvous.js';
@@ -37,9 +37,9 @@
  */
 export class Router {
   readonly #readState: () => WatchedState;
-  readonly #loads: LoadBook;
+  readonly #loads: LoadTracker;
 
-  constructor(readState: () => WatchedState, loads: LoadBook) {
+  constructor(readState: () => WatchedState, loads: LoadTracker) {
     this.#readState = readState;
     this.#loads = loads;
   }
--- a/src/gateway/shell/gateway.ts
+++ b/src/gateway/shell/gateway.ts
@@ -15,7 +15,7 @@
 import type { Account, RequestId } from '../../model/index.js';
 import { createRequestId } from '../../sidecar/attempts/index.js';
 import { defaultRequestLimits } from '../limits.js';
-import { LoadBook } from '../load-book.js';
+import { LoadTracker } from '../load-tracker.js';
 import { listModelNames } from '../reach.js';
 import { RetryBudget } from '../retry-budget.js';
 import { Router } from '../router.js';
@@ -51,7 +51,7 @@
   readonly #runningByAccount = new Map<string, number>();
   #phase: 'serving' | 'unready' | 'stopping' = 'serving';
   #timer: NodeJS.Timeout | undefined;
-  #loads = new LoadBook();
+  #loads = new LoadTracker();
   #unsubscribe: (() => void) | undefined;
 
   constructor(options: GatewayOptions) {
--- a/src/gateway/shell/request-runner.ts
+++ b/src/gateway/shell/request-runner.ts
@@ -20,14 +20,14 @@
   StreamEvent,
   StreamNumber,
 } from '../messages.js';
-import { RequestController, type RequestSurroundings } from '../request-controller.js';
+import { RequestController, type RequestDependencies } from '../request-controller.js';
 import type { AttemptConnections, StreamHandle } from './attempt-connections.js';
 import { CallerAnswer } from './caller-answer.js';
 import { ClaimedKey } from './claimed-key.js';
 import type { ParsedRequest } from './request-parser.js';
 
 /** Dependencies shared by the runners of one gateway. */
-export interface RunnerDependencies extends RequestSurroundings {
+export interface RunnerDependencies extends RequestDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly connections: AttemptConnections;
--- a/src/index.ts
+++ b/src/index.ts
@@ -89,7 +89,7 @@
   type RequestEffect,
   type RequestEvent,
   type RequestFacts,
-  type RequestSurroundings,
+  type RequestDependencies,
 } from './gateway/index.js';
 export {
   AttemptController,
