--- a/__tests__/direct/placement-world.ts
+++ b/__tests__/direct/placement-simulation.ts
@@ -31,7 +31,7 @@
   readonly burst: number;
   readonly duration: Milliseconds;
   /** Whether gateways know their positions. */
-  readonly arePlaced: boolean;
+  readonly knowPositions: boolean;
 }
 
 /** Counts of requests by outcome, and measures of the distribution over heads. */
@@ -42,10 +42,10 @@
   readonly late: number;
   readonly refused: number;
   /** Requests that were queued at a head while another head had a free slot. */
-  readonly crowded: number;
+  readonly avoidablyQueued: number;
   readonly longestQueue: number;
   /** Maximum number of requests at a head divided by the mean over all heads, averaged over time. */
-  readonly busiest: number;
+  readonly imbalance: number;
   /** Pairs of a gateway and a head that were used; each requires a connection. */
   readonly pairs: number;
 }
@@ -83,7 +83,7 @@
 }
 
 /** Simulates requests for one model that arrive at random gateways and have random durations. */
-export function playPlacement(options: PlacementOptions): PlacementResult {
+export function simulatePlacement(options: PlacementOptions): PlacementResult {
   const world = new PlacementSimulation(options);
   for (let now = 0; now < options.duration; now += tick) {
     world.step(now);
@@ -99,19 +99,19 @@
   /** A separate source, so that the arrivals do not depend on the outcomes. */
   readonly #arrivals: RandomSource;
   readonly #pairs = new Set<string>();
-  #counts = { requests: 0, inTime: 0, late: 0, refused: 0, crowded: 0, longestQueue: 0 };
+  #counts = { requests: 0, inTime: 0, late: 0, refused: 0, avoidablyQueued: 0, longestQueue: 0 };
   #due = 0;
   #imbalance = 0;
   #steps = 0;
 
   constructor(options: PlacementOptions) {
-    const { seed, gateways, heads, arePlaced } = options;
+    const { seed, gateways, heads, knowPositions } = options;
     this.#options = options;
     this.#work = createRandomSource(seed);
     this.#arrivals = createRandomSource(seed);
     const view = createView(heads);
     this.#gateways = Array.from({ length: gateways }, (_, position) => {
-      const place = arePlaced ? { gateways, position } : undefined;
+      const place = knowPositions ? { gateways, position } : undefined;
       return createGateway(view, createRandomSource(seed * 1000 + position), position, place);
     });
     const targets = this.#gateways[0]?.chooser.listTargets(service, model) ?? [];
@@ -121,8 +121,8 @@
   }
 
   get result(): PlacementResult {
-    const busiest = this.#imbalance / this.#steps;
-    return { ...this.#counts, busiest, pairs: this.#pairs.size };
+    const imbalance = this.#imbalance / this.#steps;
+    return { ...this.#counts, imbalance, pairs: this.#pairs.size };
   }
 
   step(now: Milliseconds): void {
@@ -173,7 +173,7 @@
       return false;
     }
     const isCrowded = !hasFreeSlot(head) && [...this.#heads.values()].some(hasFreeSlot);
-    this.#counts.crowded += isCrowded ? 1 : 0;
+    this.#counts.avoidablyQueued += isCrowded ? 1 : 0;
     this.#pairs.add(`${gateway.name} ${head.target.key}`);
     gateway.loads.noteSent(head.target);
     head.queue.push(request);
--- a/__tests__/direct/placement.test.ts
+++ b/__tests__/direct/placement.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest';
 
 import { choosePreferredTargets } from '../../src/gateway/direct/index.js';
-import { playPlacement, type PlacementOptions } from './placement-world.js';
+import { simulatePlacement, type PlacementOptions } from './placement-simulation.js';
 
 type Layout = Pick<PlacementOptions, 'gateways' | 'heads'>;
 
 const tens: Layout = { gateways: 46, heads: 35 };
-const usual = { seed: 1, load: 0.7, burst: 1, duration: 10_000, arePlaced: true };
+const usual = { seed: 1, load: 0.7, burst: 1, duration: 10_000, knowPositions: true };
 
 function listKeys(count: number): readonly string[] {
   return Array.from({ length: count }, (_, index) => `small/${index}`);
@@ -16,11 +16,11 @@
   // Guards against requests that wait at some heads while others have free capacity, and connections from every gateway to every head.
   // Tens of gateways share tens of heads; each sends a given head a request every few seconds, so its load information is outdated.
   it.each([0.7, 0.85])('are filled evenly by tens of gateways at a load of %s', (load) => {
-    const unplaced = playPlacement({ ...usual, ...tens, load, arePlaced: false });
-    const placed = playPlacement({ ...usual, ...tens, load });
+    const unplaced = simulatePlacement({ ...usual, ...tens, load, knowPositions: false });
+    const placed = simulatePlacement({ ...usual, ...tens, load });
     expect(placed.requests).toBe(unplaced.requests);
-    expect(placed.crowded).toBeLessThan(unplaced.crowded);
-    expect(placed.busiest).toBeLessThan(unplaced.busiest);
+    expect(placed.avoidablyQueued).toBeLessThan(unplaced.avoidablyQueued);
+    expect(placed.imbalance).toBeLessThan(unplaced.imbalance);
     expect(placed.pairs).toBeLessThan(unplaced.pairs / 2);
   });
 
@@ -59,7 +59,7 @@
   const layouts: readonly Layout[] = [{ gateways: 8, heads: 4 }, { gateways: 17, heads: 7 }, tens];
 
   it.each(layouts)('makes few responses late: $gateways gateways, $heads heads', (layout) => {
-    const { requests, inTime, late, refused } = playPlacement({ ...burst, ...layout });
+    const { requests, inTime, late, refused } = simulatePlacement({ ...burst, ...layout });
     // The fraction that all slots can serve; a tenth is allowed for what gateways cannot know.
     const possible = (usual.load + 1 + usual.load) / (usual.load * (1 + burst.burst + 1));
     expect(inTime / requests).toBeGreaterThan(0.9 * possible);
@@ -70,7 +70,7 @@
     'does not let queues grow at heads: $gateways gateways, $heads heads',
     (layout) => {
       // Fewer than the slots of a head.
-      expect(playPlacement({ ...burst, ...layout }).longestQueue).toBeLessThan(24);
+      expect(simulatePlacement({ ...burst, ...layout }).longestQueue).toBeLessThan(24);
     },
   );
 });
--- a/__tests__/engines/histories.test.ts
+++ b/__tests__/engines/histories.test.ts
@@ -118,7 +118,12 @@
 
   it('forms groups of both models before the first request', () => {
     const random = createRandomSource(7);
-    const simulation = new EngineSimulation({ random, hostCount: 30, domainSize: 10, lateOrderShare: 0 });
+    const simulation = new EngineSimulation({
+      random,
+      hostCount: 30,
+      domainSize: 10,
+      lateOrderShare: 0,
+    });
     simulation.run(6000);
     const models = new Set(simulation.openGroups.map(({ model }) => model));
     expect([...models].sort()).toEqual(['large', 'small']);
--- a/__tests__/engines/restarts.test.ts
+++ b/__tests__/engines/restarts.test.ts
@@ -84,7 +84,12 @@
 
 /** Restarts members of open groups under their ids, sometimes together with a sidecar restart or a change of leader. */
 function runHistory(random: RandomSource): EngineSimulation {
-  const simulation = new EngineSimulation({ random, hostCount: 20, domainSize: 10, lateOrderShare: 0.1 });
+  const simulation = new EngineSimulation({
+    random,
+    hostCount: 20,
+    domainSize: 10,
+    lateOrderShare: 0.1,
+  });
   simulation.run(6000);
   for (let restart = 0; restart < restartsPerHistory; restart += 1) {
     const serving = new Set(
--- a/__tests__/engines/unknown-engines.test.ts
+++ b/__tests__/engines/unknown-engines.test.ts
@@ -23,7 +23,12 @@
   it('does not affect the group of the engine', () => {
     for (let seed = 1; seed <= histories; seed += 1) {
       const random = createRandomSource(seed);
-      const simulation = new EngineSimulation({ random, hostCount: 20, domainSize: 10, lateOrderShare: 0 });
+      const simulation = new EngineSimulation({
+        random,
+        hostCount: 20,
+        domainSize: 10,
+        lateOrderShare: 0,
+      });
       simulation.run(6000);
       const before = simulation.openGroups.map(({ name }) => name);
       for (let restart = 0; restart < restartsPerHistory; restart += 1) {
--- a/__tests__/platform/wire.test.ts
+++ b/__tests__/platform/wire.test.ts
@@ -257,7 +257,7 @@
       'X-Other',
       'kept',
     ];
-    const fields = platformDialect.writeUpstream(caller, instructions);
+    const fields = platformDialect.writeUpstreamHeaders(caller, instructions);
     expect(fields).toEqual([
       'Host',
       'desk.example',
@@ -277,25 +277,25 @@
   });
 
   it('of an answer say whether the request ran', () => {
-    const { readAnswer } = platformDialect;
-    expect(readAnswer(503, { 'x-not-executed': '1' }).isNotRun).toBe(true);
-    expect(readAnswer(503, {}).isNotRun).toBe(false);
-    expect(readAnswer(421, {}).isNotRun).toBe(true);
-    expect(readAnswer(200, { 'x-instance-load': '3,1,8' }).load).toEqual({
+    const { readResponse } = platformDialect;
+    expect(readResponse(503, { 'x-not-executed': '1' }).isNotRun).toBe(true);
+    expect(readResponse(503, {}).isNotRun).toBe(false);
+    expect(readResponse(421, {}).isNotRun).toBe(true);
+    expect(readResponse(200, { 'x-instance-load': '3,1,8' }).load).toEqual({
       running: 3,
       waiting: 1,
       slots: 8,
     });
-    expect(readAnswer(200, { 'x-instance-load': 'full' }).load).toBeUndefined();
+    expect(readResponse(200, { 'x-instance-load': 'full' }).load).toBeUndefined();
   });
 
   it('of an answer give the rate limit and say whether the request was misdirected', () => {
-    const { readAnswer } = platformDialect;
+    const { readResponse } = platformDialect;
     const readRateLimit = (text: string) =>
-      readAnswer(200, { 'server-limit': text }).requestsPerSecond;
+      readResponse(200, { 'server-limit': text }).requestsPerSecond;
     expect(['1.9', '0', '12'].map(readRateLimit)).toEqual([1.9, 0, 12]);
     expect(['', 'none', '-1', '1e3'].map(readRateLimit)).toEqual(Array(4).fill(undefined));
-    expect(readAnswer(421, {}).isMisdirected).toBe(true);
-    expect(readAnswer(503, {}).isMisdirected).toBe(false);
+    expect(readResponse(421, {}).isMisdirected).toBe(true);
+    expect(readResponse(503, {}).isMisdirected).toBe(false);
   });
 });
--- a/bench/engines/loss-day.ts
+++ b/bench/engines/loss-day.ts
@@ -26,7 +26,13 @@
 export function playLossDay(seed: number, demand: ReadonlyMap<string, number>): DayResult {
   const random = createRandomSource(seed);
   const hostCount = domains.length * domainSize;
-  const world = new EngineSimulation({ random, hostCount, domainSize, lateOrderShare: 0.02, demand });
+  const world = new EngineSimulation({
+    random,
+    hostCount,
+    domainSize,
+    lateOrderShare: 0.02,
+    demand,
+  });
   world.run(calm);
   world.hasTraffic = true;
   const startedAt = world.now;
--- a/bench/leader/client-roles.ts
+++ b/bench/leader/client-roles.ts
@@ -234,7 +234,7 @@
     gateway: name,
     findLeader: () => watcher.read().leader,
     measure: () => demand,
-    onPlace: () => undefined,
+    onPosition: () => undefined,
     takePermitReport: () => ({ limits: [], wanted: new Map(), returned: new Map(), reportedAt: 0 }),
     onPermits: () => undefined,
   });
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -1,7 +1,7 @@
 /**
  * How gateways place requests on heads as both grow, at usual load and in bursts, by their real choosers in virtual time.
  */
-import { playPlacement } from '../__tests__/direct/placement-world.js';
+import { simulatePlacement } from '../__tests__/direct/placement-simulation.js';
 import { formatFigure, formatMarkdownTable } from './support/index.js';
 
 const duration = 30_000;
@@ -19,12 +19,14 @@
 ];
 
 const layouts = sizes.flatMap((size) => [
-  { ...size, arePlaced: false },
-  { ...size, arePlaced: true },
+  { ...size, knowPositions: false },
+  { ...size, knowPositions: true },
 ]);
 const rows = layouts.flatMap((layout) =>
   loads.map(({ load, burst }) => {
-    const results = seeds.map((seed) => playPlacement({ ...layout, seed, load, burst, duration }));
+    const results = seeds.map((seed) =>
+      simulatePlacement({ ...layout, seed, load, burst, duration }),
+    );
     const meanOf = (read: (result: (typeof results)[number]) => number): number =>
       results.reduce((sum, result) => sum + read(result), 0) / results.length;
     const figures = [
@@ -35,12 +37,12 @@
       meanOf(({ inTime, requests }) => inTime / requests),
       meanOf(({ late, requests }) => late / requests),
       meanOf(({ refused, requests }) => refused / requests),
-      meanOf(({ crowded, requests }) => crowded / requests),
+      meanOf(({ avoidablyQueued, requests }) => avoidablyQueued / requests),
       meanOf(({ longestQueue }) => longestQueue),
-      meanOf(({ busiest }) => busiest),
+      meanOf(({ imbalance }) => imbalance),
       meanOf(({ pairs }) => pairs),
     ].map((figure) => formatFigure(figure));
-    return [layout.arePlaced ? 'yes' : 'no', ...figures];
+    return [layout.knowPositions ? 'yes' : 'no', ...figures];
   }),
 );
 const header = [
--- a/src/control/hosts/host-health.ts
+++ b/src/control/hosts/host-health.ts
@@ -3,7 +3,12 @@
 import type { HostAvailability } from '../../placement/index.js';
 import { computeQuarantineScale } from './flap-damping.js';
 import { ReturnEstimator } from './return-estimator.js';
-import type { HostHealthEffect, HostHealthEvent, HostHealthOptions, HostHealthReport } from './types.js';
+import type {
+  HostHealthEffect,
+  HostHealthEvent,
+  HostHealthOptions,
+  HostHealthReport,
+} from './types.js';
 import { detectIsolation } from './isolation-detection.js';
 import { TrackedHost } from './tracked-host.js';
 
@@ -91,7 +96,11 @@
     this.#lastEventAt = now;
   }
 
-  #recordReport(report: HostHealthReport, via: string, now: Milliseconds): readonly HostHealthEffect[] {
+  #recordReport(
+    report: HostHealthReport,
+    via: string,
+    now: Milliseconds,
+  ): readonly HostHealthEffect[] {
     const known = this.#hosts.get(report.host);
     const host = known ?? new TrackedHost(report, this.#options, now);
     this.#hosts.set(report.host, host);
--- a/src/control/hosts/tracked-host.ts
+++ b/src/control/hosts/tracked-host.ts
@@ -53,7 +53,11 @@
   }
 
   /** Returns `recovered` if the upstream had failed during this incarnation; its first start is not a recovery. */
-  recordReport(report: HostHealthReport, via: string, now: Milliseconds): 'recovered' | 'unremarkable' {
+  recordReport(
+    report: HostHealthReport,
+    via: string,
+    now: Milliseconds,
+  ): 'recovered' | 'unremarkable' {
     this.#incarnation = report.incarnation;
     this.#failureDomain = `${report.region}/${report.failureDomain}`;
     this.#relay = via;
--- a/src/control/shell/host-observer.ts
+++ b/src/control/shell/host-observer.ts
@@ -155,7 +155,10 @@
 }
 
 /** Extracts what host health needs from a report; undefined while the facts of the host are unknown. */
-function describeSign(report: HostReport, known: HostHealthReport | undefined): HostHealthReport | undefined {
+function describeSign(
+  report: HostReport,
+  known: HostHealthReport | undefined,
+): HostHealthReport | undefined {
   const { host, incarnation, facts, isLeaving } = report;
   const source = facts ?? known;
   if (source === undefined) {
--- a/src/gateway/direct/delivery.ts
+++ b/src/gateway/direct/delivery.ts
@@ -7,7 +7,7 @@
   type DeliveryEffect,
   type DeliveryEvent,
 } from './delivery-controller.js';
-import type { AnswerFacts } from './dialect.js';
+import type { ResponseMetadata } from './dialect.js';
 import { lowestFailureStatus, type ResponseWriter } from './response-writer.js';
 import type {
   DeliveryOutcome,
@@ -195,7 +195,7 @@
       this.#dependencies;
     const { method, path, rawHeaders, body, service, account, route, resumeAfter } = this.#request;
     const isFirst = this.#controller.attemptCount === 1 && !this.#responseWriter.isPassedOn;
-    const headers = dialect.writeUpstream(rawHeaders, {
+    const headers = dialect.writeUpstreamHeaders(rawHeaders, {
       instance: target.instance.id,
       remaining,
       account: account?.name,
@@ -246,7 +246,7 @@
     raw: string[],
   ): void {
     const { dialect, loads, onCapacityChanged } = this.#dependencies;
-    const facts = dialect.readAnswer(status, headers);
+    const facts = dialect.readResponse(status, headers);
     this.#hasResponseHead = true;
     loads.noteAnswered(target);
     this.#noteRateLimit(target, facts);
@@ -278,7 +278,7 @@
   }
 
   /** Ignores responses from another upstream or to another request: their rate limit may not be that of the target. */
-  #noteRateLimit(target: Target, facts: AnswerFacts): void {
+  #noteRateLimit(target: Target, facts: ResponseMetadata): void {
     const { isMisdirected, requestId, requestsPerSecond } = facts;
     if (isMisdirected || (requestId !== undefined && requestId !== this.#request.requestId)) {
       return;
--- a/src/gateway/direct/demand-reporter.ts
+++ b/src/gateway/direct/demand-reporter.ts
@@ -26,7 +26,7 @@
   /** Returns the concurrent demand by model and ends the measured interval. */
   readonly measure: () => ReadonlyMap<string, number>;
   /** Called with the position of this gateway among those that have reported recently. */
-  readonly onPlace: (position: GatewayPosition) => void;
+  readonly onPosition: (position: GatewayPosition) => void;
   readonly takePermitReport: () => PermitReport;
   readonly onPermits: (granted: GrantedPermits, reportedAt: Milliseconds) => void;
   readonly clients: RpcClientPool;
@@ -53,7 +53,7 @@
   }
 
   async #report(): Promise<void> {
-    const { findLeader, measure, takePermitReport, onPlace, onPermits, logger } = this.#options;
+    const { findLeader, measure, takePermitReport, onPosition, onPermits, logger } = this.#options;
     const leader = findLeader();
     const requests = Object.fromEntries(measure());
     if (leader === '') {
@@ -62,7 +62,7 @@
     const report = takePermitReport();
     try {
       const { gateways, position, ...granted } = await this.#send(leader, requests, report);
-      onPlace({ gateways, position });
+      onPosition({ gateways, position });
       onPermits(decodePermits(granted), report.reportedAt);
     } catch (error) {
       logger.debug({ leader, error: String(error) }, 'failed to report demand');
--- a/src/gateway/direct/dialect.ts
+++ b/src/gateway/direct/dialect.ts
@@ -5,7 +5,7 @@
 /** Interface to the headers that a deployment's callers and upstreams use; an adapter implements it. */
 
 /** What a caller states about its request beyond method, path and body. */
-export interface CallerFacts {
+export interface RequestMetadata {
   /** Chosen by the caller; upstreams repeat it in their responses. */
   readonly requestId: string | undefined;
   /** How long the caller waits; undefined if it does not say. */
@@ -15,7 +15,7 @@
 }
 
 /** Values that the gateway adds to a request for the upstream. */
-export interface UpstreamInstructions {
+export interface UpstreamRequestOptions {
   /** Only this instance may run the request. */
   readonly instance: string;
   readonly remaining: Milliseconds;
@@ -35,7 +35,7 @@
 }
 
 /** What the status and headers of an upstream's response mean. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   /** Whether the upstream did not run the request and never will. */
   readonly isNotRun: boolean;
   /** The request that the response belongs to; undefined if the upstream does not say. */
@@ -51,8 +51,11 @@
 export type RawHeaders = readonly string[];
 
 export interface Dialect {
-  readonly readCaller: (headers: IncomingHttpHeaders) => CallerFacts;
+  readonly readRequest: (headers: IncomingHttpHeaders) => RequestMetadata;
   /** Returns the caller's headers with those that the gateway sets, which replace any that the caller sent under the same names. */
-  readonly writeUpstream: (headers: RawHeaders, instructions: UpstreamInstructions) => string[];
-  readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerFacts;
+  readonly writeUpstreamHeaders: (
+    headers: RawHeaders,
+    instructions: UpstreamRequestOptions,
+  ) => string[];
+  readonly readResponse: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
 }
--- a/src/gateway/direct/direct-gateway-process.ts
+++ b/src/gateway/direct/direct-gateway-process.ts
@@ -22,7 +22,7 @@
 
 /** Assembles a direct gateway process: one that sends requests directly to upstreams. */
 
-export interface DirectGatewayPartsOptions {
+export interface DirectGatewayProcessOptions {
   readonly settings: RoutingGatewaySettings;
   readonly dialect: Dialect;
   readonly clock: Clock;
@@ -37,7 +37,7 @@
 }
 
 export function createDirectGatewayProcess(
-  options: DirectGatewayPartsOptions,
+  options: DirectGatewayProcessOptions,
 ): DirectGatewayProcess {
   const { settings, clock, random, logger } = options;
   const { name, control } = settings;
@@ -56,7 +56,7 @@
     gateway: name,
     findLeader: () => watcher.read().leader,
     measure: () => gateway.measureDemand(),
-    onPlace: (position) => {
+    onPosition: (position) => {
       gateway.setPosition(position);
     },
     takePermitReport: () => gateway.permits.takeReport(clock.monotonic()),
--- a/src/gateway/direct/direct-gateway.ts
+++ b/src/gateway/direct/direct-gateway.ts
@@ -251,7 +251,7 @@
       request,
       response,
       answer: new ResponseWriter(response, () => this.#isStopping),
-      facts: dialect.readCaller(request.headers),
+      facts: dialect.readRequest(request.headers),
       startedAt: clock.monotonic(),
     };
     await this.#guard.waitForStart();
--- a/src/gateway/direct/inbound-request.ts
+++ b/src/gateway/direct/inbound-request.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import type { Milliseconds } from '../../common/index.js';
-import type { CallerFacts } from './dialect.js';
+import type { RequestMetadata } from './dialect.js';
 import type { ResponseWriter } from './response-writer.js';
 
 /** A received request whose route has not been resolved yet. */
@@ -10,7 +10,7 @@
   readonly response: ServerResponse;
   readonly answer: ResponseWriter;
   /** What the caller states about the request beyond method, path and body. */
-  readonly facts: CallerFacts;
+  readonly facts: RequestMetadata;
   readonly startedAt: Milliseconds;
 }
 
--- a/src/gateway/direct/index.ts
+++ b/src/gateway/direct/index.ts
@@ -11,18 +11,18 @@
   type DeliveryDependencies,
 } from './delivery-controller.js';
 export type {
-  AnswerFacts,
-  CallerFacts,
+  ResponseMetadata,
+  RequestMetadata,
   Dialect,
   RawHeaders,
-  UpstreamInstructions,
+  UpstreamRequestOptions,
   UpstreamLoad,
 } from './dialect.js';
 export { ResponseWriter, dropConnectionFields } from './response-writer.js';
 export { DirectGateway, type DirectGatewayOptions } from './direct-gateway.js';
 export {
   createDirectGatewayProcess,
-  type DirectGatewayPartsOptions,
+  type DirectGatewayProcessOptions,
   type DirectGatewayProcess,
 } from './direct-gateway-process.js';
 export { DirectMetrics } from './direct-metrics.js';
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -23,13 +23,13 @@
 export type { CallerLimits, RequestOutcome } from './shell/request-runner.js';
 export {
   createDirectGatewayProcess,
-  type AnswerFacts,
-  type CallerFacts,
+  type ResponseMetadata,
+  type RequestMetadata,
   type Dialect,
-  type DirectGatewayPartsOptions,
+  type DirectGatewayProcessOptions,
   type DirectGatewayProcess,
   type RawHeaders,
-  type UpstreamInstructions,
+  type UpstreamRequestOptions,
   type UpstreamLoad,
   dropConnectionFields,
 } from './direct/index.js';
