--- a/__tests__/attempts/admission.test.ts
+++ b/__tests__/attempts/admission.test.ts
@@ -7,13 +7,13 @@
 
 interface Sender {
   readonly account: string;
-  /** Time between two attempts. */
-  readonly every: number;
+  /** Interval between two attempts in milliseconds. */
+  readonly interval: number;
   readonly weight: number;
   readonly priority: number;
 }
 
-/** Answers started for each account while all of them keep sending for a while; service times spread by half. */
+/** Counts the attempts started per account while all accounts send for 120 s; service times vary by ±50 %. */
 function countStarts(
   senders: readonly Sender[],
   capacity: number,
@@ -40,9 +40,9 @@
     admission.startNext(now).forEach((key) => {
       start(key, now);
     });
-    for (const { account, every, weight, priority } of senders) {
+    for (const { account, interval, weight, priority } of senders) {
       const key = `${account}/${now}`;
-      const isDue = now % every === 0;
+      const isDue = now % interval === 0;
       const request = { key, account, weight, priority, remaining: 60_000 };
       if (isDue && admission.request(request, now).type === 'start') {
         start(key, now);
@@ -55,29 +55,31 @@
 const sender = { weight: 1, priority: 5 };
 
 describe('admission', () => {
-  // Symptom: a small account gets hardly any answers while a large one floods the system.
-  // Sequence: the large account sends ten times its share, the small one half of its own; answers are short, or take ten
-  // seconds each.
-  // Cause: whoever sends most wins every slot that comes free.
+  // Guards against starvation of a small account by one that floods the system: without fair queueing, the account that
+  // sends the most gets every slot that is freed. The large account sends ten times its share, the small one half of
+  // its share; responses are short or take ten seconds each.
   it.each([
-    { name: 'short answers', capacity: 4, serviceTime: 40, every: 20 },
-    { name: 'long answers', capacity: 20, serviceTime: 10_000, every: 1000 },
-  ])('gives a small account what it wants of $name', ({ capacity, serviceTime, every }) => {
-    const small = { ...sender, account: 'small', every: 2 * every };
-    const starts = countStarts(
-      [small, { ...sender, account: 'large', every: every / 10 }],
-      capacity,
-      serviceTime,
-    );
-    const share = (starts.get('small') ?? 0) / (120_000 / small.every);
-    expect(share).toBeGreaterThan(0.9);
-  });
+    { name: 'short responses', capacity: 4, serviceTime: 40, interval: 20 },
+    { name: 'long responses', capacity: 20, serviceTime: 10_000, interval: 1000 },
+  ])(
+    'serves nearly all attempts of a small account with $name',
+    ({ capacity, serviceTime, interval }) => {
+      const small = { ...sender, account: 'small', interval: 2 * interval };
+      const starts = countStarts(
+        [small, { ...sender, account: 'large', interval: interval / 10 }],
+        capacity,
+        serviceTime,
+      );
+      const share = (starts.get('small') ?? 0) / (120_000 / small.interval);
+      expect(share).toBeGreaterThan(0.9);
+    },
+  );
 
-  it('gives accounts that both want more than there is shares by weight', () => {
+  it('divides slots by weight between accounts that both exceed their share', () => {
     const starts = countStarts(
       [
-        { ...sender, account: 'heavy', every: 5, weight: 3 },
-        { ...sender, account: 'light', every: 5 },
+        { ...sender, account: 'heavy', interval: 5, weight: 3 },
+        { ...sender, account: 'light', interval: 5 },
       ],
       2,
       40,
@@ -87,11 +89,11 @@
     expect(ratio).toBeLessThan(3.5);
   });
 
-  it('favours the urgent without starving the others', () => {
+  it('favours urgent attempts without starving the others', () => {
     const starts = countStarts(
       [
-        { ...sender, account: 'urgent', every: 5, priority: 0 },
-        { ...sender, account: 'patient', every: 5, priority: 9 },
+        { ...sender, account: 'urgent', interval: 5, priority: 0 },
+        { ...sender, account: 'patient', interval: 5, priority: 9 },
       ],
       2,
       40,
@@ -102,13 +104,13 @@
     expect(patient).toBeGreaterThan(urgent / 12);
   });
 
-  it('refuses at once, with a time to come back from the measured drain rate', () => {
+  it('refuses immediately, with a Retry-After from the measured drain rate', () => {
     const admission = new AdmissionController(limits);
-    const ask = (key: string, now: number) =>
+    const request = (key: string, now: number) =>
       admission.request({ ...sender, key, account: 'one', remaining: 60_000 }, now);
-    expect(ask('a', 0)).toEqual({ type: 'start' });
+    expect(request('a', 0)).toEqual({ type: 'start' });
     admission.release('a', 2000, true);
-    expect(ask('b', 2000)).toEqual({ type: 'start' });
-    expect(ask('c', 2000)).toEqual({ type: 'refused', retryAfter: 2000 });
+    expect(request('b', 2000)).toEqual({ type: 'start' });
+    expect(request('c', 2000)).toEqual({ type: 'refused', retryAfter: 2000 });
   });
 });
--- a/__tests__/attempts/attempts.test.ts
+++ b/__tests__/attempts/attempts.test.ts
@@ -26,7 +26,7 @@
   };
 }
 
-/** Sends an order and returns what the gateway is told first. */
+/** Sends an order and returns the type or refusal code of the first effect. */
 function arrive(
   attempts: AttemptController,
   sent: AttemptOrder,
@@ -70,24 +70,23 @@
     );
   });
 
-  // Symptom: a request runs twice although its first attempt was refused.
-  // Sequence: the message is doubled; its first copy is refused, the gateway goes elsewhere, the second copy meets a
-  // group that is whole again.
-  // Cause: a refusal left no trace.
+  // Guards against running a request twice: the message is duplicated and its first copy refused, so the gateway
+  // retries elsewhere. The second copy arrives when all leases are held again. It would run if the refusal left no
+  // tombstone.
   it('stays refused when its second copy could run', () => {
     const attempts = new AttemptController(incarnation);
     expect(arrive(attempts, order(100), 100, { isWhole: false })).toBe('notWhole');
     expect(arrive(attempts, order(100), 101)).toBe('tombstoned');
   });
 
-  // Symptom: a request runs although the gateway was told "never seen" an hour ago.
-  // Sequence: asked after, tombstone; the tombstone is forgotten, by age or for lack of memory; the frozen message comes.
-  // Cause: memory is bounded, and a message on a silent connection can come after any time.
+  // Guards against running a request that was reported as "never seen" an hour ago: the query leaves a tombstone, which
+  // is evicted by age or by the memory limit, and then the delayed message arrives. Memory is limited, and a message on
+  // a silent connection can arrive after an arbitrary delay.
   it.each([
     { name: 'by age', later: 3_600_000, others: 0 },
-    { name: 'for lack of memory', later: 10, others: 5 },
-  ])('is refused after its tombstone was forgotten $name', ({ later, others }) => {
-    const registry = { ...defaultAttemptLimits.registry, maximumRemembered: 3 };
+    { name: 'by the memory limit', later: 10, others: 5 },
+  ])('is refused after its tombstone was evicted $name', ({ later, others }) => {
+    const registry = { ...defaultAttemptLimits.registry, maximumRetained: 3 };
     const attempts = new AttemptController(incarnation, { ...defaultAttemptLimits, registry });
     const late = order(100);
     attempts.handle({ type: 'asked', now: 100, question: 1, name: late.name });
@@ -100,16 +99,15 @@
     expect(arrive(attempts, order(100 + later + 1), 100 + later)).toBe('confirm');
   });
 
-  // Symptom: an engine works for a caller that left before its request arrived.
-  // Sequence: the cancellation overtakes the attempt.
-  // Cause: a cancellation of something unknown was dropped.
+  // Guards against an engine working for a client that has already left: the cancellation arrives before the attempt,
+  // and would be lost if cancellations of unknown attempts were ignored.
   it('does not run after its cancellation', () => {
     const attempts = new AttemptController(incarnation);
     attempts.handle({ type: 'cancelled', now: 99, name: order(100).name });
     expect(arrive(attempts, order(100), 100)).toBe('tombstoned');
   });
 
-  it('is ended, and its upstream cancelled, when nobody has listened for a while', () => {
+  it('is ended, and its upstream request cancelled, after some time without a subscriber', () => {
     const attempts = new AttemptController(incarnation);
     arrive(attempts, order(100), 100);
     const { key } = { key: `${order(100).name.requestId}/1` };
@@ -123,7 +121,7 @@
 });
 
 describe('a resume buffer', () => {
-  it('keeps the last bytes and says where they begin', () => {
+  it('keeps the last bytes and reports their first offset', () => {
     const buffer = new ResumeBuffer(5);
     ['abc', 'de', 'fg'].forEach((text) => buffer.append(Buffer.from(text)));
     expect([buffer.firstOffset, buffer.nextOffset]).toEqual([3, 7]);
--- a/__tests__/attempts/message-outlet.test.ts
+++ b/__tests__/attempts/message-outlet.test.ts
@@ -10,9 +10,9 @@
   return { type: 'data', offset, bytes: Buffer.from(text) };
 }
 
-async function readAll(outlet: MessageOutlet): Promise<readonly string[]> {
+async function readAll(stream: MessageOutlet): Promise<readonly string[]> {
   const seen: string[] = [];
-  for await (const response of outlet) {
+  for await (const response of stream) {
     const message = decodeMessage(response);
     const isData = message?.type === 'data';
     seen.push(
@@ -23,37 +23,37 @@
 }
 
 describe('messages to one connection', () => {
-  it('join adjacent data that wait, across nothing else and no gap', async () => {
-    const outlet = new MessageOutlet();
-    outlet.push(data(0, 'ab'));
-    outlet.push(data(2, 'c'));
-    outlet.push({ type: 'keepAlive', load });
-    outlet.push(data(3, 'd'));
-    outlet.push(data(9, 'x'));
-    outlet.push(data(10, 'y'.repeat(8 * 1024)));
-    outlet.close();
-    const seen = await readAll(outlet);
+  it('join queued adjacent data, but not across other messages or gaps', async () => {
+    const stream = new MessageOutlet();
+    stream.push(data(0, 'ab'));
+    stream.push(data(2, 'c'));
+    stream.push({ type: 'keepAlive', load });
+    stream.push(data(3, 'd'));
+    stream.push(data(9, 'x'));
+    stream.push(data(10, 'y'.repeat(8 * 1024)));
+    stream.close();
+    const seen = await readAll(stream);
     expect(seen.slice(0, 4)).toEqual(['0:abc', 'keepAlive', '3:d', '9:x']);
     expect(seen).toHaveLength(5);
   });
 
-  it('leave at once for a connection that waits for them', async () => {
-    const outlet = new MessageOutlet();
-    const first = outlet.next();
-    outlet.push(data(0, 'a'));
+  it('are sent immediately to a connection with a pending read', async () => {
+    const stream = new MessageOutlet();
+    const first = stream.next();
+    stream.push(data(0, 'a'));
     expect((await first).done).toBe(false);
-    expect(outlet.length).toBe(0);
+    expect(stream.length).toBe(0);
   });
 
-  it('hold their source back until the connection has taken enough', async () => {
-    const outlet = new MessageOutlet();
-    outlet.push({ type: 'keepAlive', load });
-    outlet.push({ type: 'keepAlive', load });
+  it('delay their source until the connection has read enough', async () => {
+    const stream = new MessageOutlet();
+    stream.push({ type: 'keepAlive', load });
+    stream.push({ type: 'keepAlive', load });
     let isReady = false;
-    const ready = outlet.waitUntilBelow(1).then(() => (isReady = true));
+    const ready = stream.waitUntilBelow(1).then(() => (isReady = true));
     await Promise.resolve();
     expect(isReady).toBe(false);
-    await outlet.next();
+    await stream.next();
     await ready;
     expect(isReady).toBe(true);
   });
--- a/src/sidecar/attempts/admission-controller.ts
+++ b/src/sidecar/attempts/admission-controller.ts
@@ -1,10 +1,10 @@
 import type { Milliseconds } from '../../common/index.js';
 import type { AccountName, Load } from '../../model/index.js';
 import { DrainRate } from './drain-rate.js';
-import { FairQueue, type Waiting } from './fair-queue.js';
+import { FairQueue, type QueuedAttempt } from './fair-queue.js';
 import type { AttemptKey } from './messages.js';
 
-/** An attempt that wants a slot of the upstream. */
+/** An attempt that requests a slot of the upstream. */
 export interface AdmissionRequest {
   readonly key: AttemptKey;
   readonly account: AccountName;
@@ -12,56 +12,57 @@
   readonly weight: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Time left for the request when it came. */
+  /** Time left until the request's deadline, at arrival. */
   readonly remaining: Milliseconds;
 }
 
-/** What admission says to an attempt that has just come. */
-export type AdmissionVerdict =
+/** Admission decision for an attempt that has just arrived. */
+export type AdmissionDecision =
   | { readonly type: 'start' }
   | { readonly type: 'queued' }
   | { readonly type: 'refused'; readonly retryAfter: Milliseconds };
 
-/** Bounds of admission. */
+/** Limits of the admission queue. */
 export interface AdmissionLimits {
-  /** An attempt that would wait longer is refused at once. */
+  /** An attempt with a longer estimated wait is refused immediately. */
   readonly maximumWait: Milliseconds;
-  /** The same for an account that has less than its share of the slots. */
+  /** The same limit for an account that uses less than its share of the slots. */
   readonly maximumWaitUnderShare: Milliseconds;
-  /** Memory bound: attempts in the queue, whatever the drain rate. */
+  /** Memory limit: number of queued attempts, regardless of the drain rate. */
   readonly maximumQueued: number;
 }
 
-/** Half a second leaves room for a first token within 0.7 s. */
+/** Waiting at most half a second leaves time for a first token within 0.7 s. */
 export const defaultAdmissionLimits: AdmissionLimits = {
   maximumWait: 500,
   maximumWaitUnderShare: 5000,
   maximumQueued: 2000,
 };
 
-interface Running {
+interface OccupiedSlot {
   readonly account: AccountName;
   readonly since: Milliseconds;
 }
 
-interface AccountUse {
+interface AccountUsage {
   weight: number;
   running: number;
   waiting: number;
 }
 
 /**
- * Admission to one group's upstream: a bounded number of slots, a queue bounded by time, and weighted fairness.
+ * Admission control for one group's upstream: a limited number of slots, a queue with limited waiting time, and
+ * weighted fair sharing.
  *
- * An attempt is refused at once when the measured drain rate says that it would wait too long. An account that has less
- * than its share of the slots may wait longer: where answers take many seconds, the ordinary bound leaves no queue at
- * all, and whoever sends most would win every slot that comes free.
+ * An attempt is refused immediately when, by the measured drain rate, it would wait too long. An account that uses less
+ * than its share of the slots may wait longer: where responses take many seconds, the ordinary limit allows no queue at
+ * all, and the account that sends the most would get every slot that is freed.
  */
 export class AdmissionController {
   readonly #limits: AdmissionLimits;
   readonly #drainRate = new DrainRate();
-  readonly #running = new Map<AttemptKey, Running>();
-  readonly #uses = new Map<AccountName, AccountUse>();
+  readonly #running = new Map<AttemptKey, OccupiedSlot>();
+  readonly #usageByAccount = new Map<AccountName, AccountUsage>();
   readonly #queue = new FairQueue();
   #capacity = 1;
 
@@ -69,77 +70,77 @@
     this.#limits = limits;
   }
 
-  /** Load as told to gateways. */
+  /** Load as reported to gateways. */
   get load(): Load {
     return { running: this.#running.size, queued: this.#queue.length, capacity: this.#capacity };
   }
 
-  /** Sets the number of slots; running attempts stay when it shrinks. */
+  /** Sets the number of slots. Lowering it does not interrupt running attempts. */
   setCapacity(capacity: number): void {
     this.#capacity = Math.max(1, capacity);
   }
 
-  /** Decides on an attempt that has just come. */
-  request(request: AdmissionRequest, now: Milliseconds): AdmissionVerdict {
+  /** Starts, queues or refuses an attempt that has just arrived. */
+  request(request: AdmissionRequest, now: Milliseconds): AdmissionDecision {
     if (this.#hasFreeSlot() && this.#queue.length === 0) {
-      this.#queue.pass(request);
-      this.#noteUse(request);
-      this.#take(request, now);
+      this.#queue.recordImmediateStart(request);
+      this.#updateUsage(request);
+      this.#occupySlot(request, now);
       return { type: 'start' };
     }
     const ahead = this.#queue.countAhead(request);
     const wait = this.#drainRate.estimateWait(ahead + 1, this.#capacity);
-    const bound = this.#findBound(request);
-    if (wait > bound || this.#queue.length >= this.#limits.maximumQueued) {
+    const maximumWait = this.#findMaximumWait(request);
+    if (wait > maximumWait || this.#queue.length >= this.#limits.maximumQueued) {
       return { type: 'refused', retryAfter: this.estimateRetryAfter() };
     }
-    this.#noteUse(request).waiting += 1;
-    this.#queue.add(request, now + bound);
+    this.#updateUsage(request).waiting += 1;
+    this.#queue.add(request, now + maximumWait);
     return { type: 'queued' };
   }
 
-  /** Frees the slot or the place in the queue; a finished attempt's time feeds the drain rate. */
-  release(key: AttemptKey, now: Milliseconds, hasRun: boolean): void {
+  /** Frees the attempt's slot or removes it from the queue. A completed attempt's duration updates the drain rate. */
+  release(key: AttemptKey, now: Milliseconds, hasCompleted: boolean): void {
     const running = this.#running.get(key);
     if (running === undefined) {
       const waiting = this.#queue.remove(key);
       if (waiting !== undefined) {
-        this.#leaveQueue(waiting);
+        this.#recordDequeue(waiting);
       }
       return;
     }
     this.#running.delete(key);
-    this.#changeUse(running.account, -1, 0);
-    if (hasRun) {
+    this.#adjustUsage(running.account, -1, 0);
+    if (hasCompleted) {
       this.#drainRate.recordServiceTime(now - running.since);
     }
   }
 
-  /** Takes the next attempts of the queue into free slots. */
+  /** Moves queued attempts into free slots. */
   startNext(now: Milliseconds): readonly AttemptKey[] {
     const started: AttemptKey[] = [];
     while (this.#hasFreeSlot()) {
-      const next = this.#queue.takeNext();
+      const next = this.#queue.dequeue();
       if (next === undefined) {
         break;
       }
-      this.#take(next.request, now);
-      this.#leaveQueue(next);
+      this.#occupySlot(next.request, now);
+      this.#recordDequeue(next);
       started.push(next.request.key);
     }
     return started;
   }
 
-  /** Takes out the attempts that have waited as long as they may. */
+  /** Removes the queued attempts whose maximum waiting time is over. */
   expire(now: Milliseconds): readonly AttemptKey[] {
     const expired = this.#queue.removeExpired(now);
     for (const waiting of expired) {
-      this.#leaveQueue(waiting);
+      this.#recordDequeue(waiting);
     }
     return expired.map((waiting) => waiting.request.key);
   }
 
-  /** When a refused caller should come back: once the queue of now has drained. */
+  /** When a refused client should retry: once the current queue has drained. */
   estimateRetryAfter(): Milliseconds {
     return this.#drainRate.estimateWait(this.#queue.length + 1, this.#capacity);
   }
@@ -148,52 +149,55 @@
     return this.#running.size < this.#capacity;
   }
 
-  #findBound(request: AdmissionRequest): Milliseconds {
+  #findMaximumWait(request: AdmissionRequest): Milliseconds {
     const { maximumWait, maximumWaitUnderShare } = this.#limits;
-    const bound = this.#isUnderShare(request) ? maximumWaitUnderShare : maximumWait;
-    return Math.min(bound, request.remaining);
+    const limit = this.#isUnderShare(request) ? maximumWaitUnderShare : maximumWait;
+    return Math.min(limit, request.remaining);
   }
 
-  /** Whether the account holds and waits for less than its share of the slots, with this attempt counted in. */
+  /**
+   * Whether the account has fewer running and queued attempts than its share of the slots. This attempt's weight is
+   * included in the total.
+   */
   #isUnderShare(request: AdmissionRequest): boolean {
-    const use = this.#uses.get(request.account);
-    let weights = use === undefined ? request.weight : 0;
-    for (const { weight } of this.#uses.values()) {
+    const usage = this.#usageByAccount.get(request.account);
+    let weights = usage === undefined ? request.weight : 0;
+    for (const { weight } of this.#usageByAccount.values()) {
       weights += weight;
     }
     const share = Math.max(1, (this.#capacity * request.weight) / weights);
-    return (use?.running ?? 0) + (use?.waiting ?? 0) < share;
+    return (usage?.running ?? 0) + (usage?.waiting ?? 0) < share;
   }
 
-  #take(request: AdmissionRequest, now: Milliseconds): void {
+  #occupySlot(request: AdmissionRequest, now: Milliseconds): void {
     this.#running.set(request.key, { account: request.account, since: now });
-    this.#changeUse(request.account, 1, 0);
+    this.#adjustUsage(request.account, 1, 0);
   }
 
-  #leaveQueue(waiting: Waiting): void {
-    this.#changeUse(waiting.request.account, 0, -1);
+  #recordDequeue(waiting: QueuedAttempt): void {
+    this.#adjustUsage(waiting.request.account, 0, -1);
   }
 
-  #noteUse(request: AdmissionRequest): AccountUse {
-    const known = this.#uses.get(request.account);
+  #updateUsage(request: AdmissionRequest): AccountUsage {
+    const known = this.#usageByAccount.get(request.account);
     if (known !== undefined) {
       known.weight = request.weight;
       return known;
     }
-    const created: AccountUse = { weight: request.weight, running: 0, waiting: 0 };
-    this.#uses.set(request.account, created);
+    const created: AccountUsage = { weight: request.weight, running: 0, waiting: 0 };
+    this.#usageByAccount.set(request.account, created);
     return created;
   }
 
-  #changeUse(account: AccountName, running: number, waiting: number): void {
-    const use = this.#uses.get(account);
-    if (use === undefined) {
+  #adjustUsage(account: AccountName, running: number, waiting: number): void {
+    const usage = this.#usageByAccount.get(account);
+    if (usage === undefined) {
       return;
     }
-    use.running += running;
-    use.waiting += waiting;
-    if (use.running === 0 && use.waiting === 0) {
-      this.#uses.delete(account);
+    usage.running += running;
+    usage.waiting += waiting;
+    if (usage.running === 0 && usage.waiting === 0) {
+      this.#usageByAccount.delete(account);
     }
   }
 }
--- a/src/sidecar/attempts/arrival-check.ts
+++ b/src/sidecar/attempts/arrival-check.ts
@@ -1,9 +1,9 @@
 import { assertNever, type ResultCodeName, type WallTime } from '../../common/index.js';
 import type { AttemptOrder, Incarnation, Revision } from '../../model/index.js';
 import type { AttemptRegistry } from './attempt-registry.js';
-import type { GroupFacts } from './messages.js';
+import type { GroupSnapshot } from './messages.js';
 
-/** What an arriving attempt is checked against. */
+/** Sidecar state against which an arriving attempt is checked. */
 export interface ArrivalContext {
   readonly incarnation: Incarnation;
   readonly registry: AttemptRegistry;
@@ -12,25 +12,26 @@
   readonly wallNow: WallTime;
 }
 
-/** What comes of the checks: the facts of the group that may take the attempt, or why none may. */
+/** Result of the checks: the group that may run the attempt, or why it is refused. */
 export type ArrivalCheck =
-  | { readonly type: 'passed'; readonly group: GroupFacts }
+  | { readonly type: 'passed'; readonly group: GroupSnapshot }
   | { readonly type: 'refused'; readonly code: ResultCodeName };
 
 /**
- * Checks an attempt before it may even queue.
- * The order matters: what is already known here is never told "not run" for another reason.
+ * Checks an attempt before it is queued.
+ * The order matters: the duplicate check comes before the group checks, so that an attempt this sidecar already knows
+ * is never reported as "not run" for an unrelated reason.
  */
 export function checkArrival(
   order: AttemptOrder,
-  group: GroupFacts | undefined,
+  group: GroupSnapshot | undefined,
   context: ArrivalContext,
 ): ArrivalCheck {
   if (order.name.incarnation !== context.incarnation) {
     return refuse('staleIncarnation');
   }
-  const verdict = context.registry.judge(order.name, context.wallNow);
-  switch (verdict) {
+  const status = context.registry.classifyArrival(order.name, context.wallNow);
+  switch (status) {
     case 'known':
       return refuse('duplicateAttempt');
     case 'tombstoned':
@@ -40,13 +41,13 @@
     case 'new':
       return checkGroup(order, group, context);
     default:
-      return assertNever(verdict);
+      return assertNever(status);
   }
 }
 
 function checkGroup(
   order: AttemptOrder,
-  group: GroupFacts | undefined,
+  group: GroupSnapshot | undefined,
   context: ArrivalContext,
 ): ArrivalCheck {
   if (group === undefined) {
--- a/src/sidecar/attempts/attempt-controller.ts
+++ b/src/sidecar/attempts/attempt-controller.ts
@@ -22,18 +22,18 @@
   AttemptEvent,
   AttemptKey,
   AttemptMessage,
-  GroupFacts,
+  GroupSnapshot,
   SubscriberId,
 } from './messages.js';
 
 type EventOf<Type extends AttemptEvent['type']> = Extract<AttemptEvent, { readonly type: Type }>;
 
-/** Retry-After for refusals that another group can make good at once. */
+/** Retry-After for refusals where another group can take the request immediately. */
 const shortRetryAfter: Milliseconds = 1000;
 
 /**
- * All decisions on the attempts that reach one sidecar: whether they may run, in which order, what a gateway that lost
- * its connection is told, and when the upstream's stream is cancelled.
+ * Makes all decisions about the attempts at one sidecar: whether and in which order they run, what is reported to a
+ * gateway that lost its connection, and when the upstream request is cancelled.
  */
 export class AttemptController implements Controller<AttemptEvent, AttemptEffect> {
   readonly #incarnation: Incarnation;
@@ -51,17 +51,17 @@
     this.#admissions = new GroupAdmissions(limits.admission);
   }
 
-  /** Attempts that are queued or running. */
+  /** Number of attempts that are queued or running. */
   get unfinishedCount(): number {
     return this.#registry.unfinishedCount;
   }
 
-  /** Attempts that are queued or running, for the report of a hard limit. */
+  /** Attempts that are queued or running, to be reported when the drain reaches its time limit. */
   listUnfinished(): readonly AttemptKey[] {
     return [...this.#registry.unfinished].map((record) => record.key);
   }
 
-  /** Unfinished attempts of one group, to tell when its drain is over. */
+  /** Number of unfinished attempts of one group, which shows whether its drain is complete. */
   countUnfinished(group: GroupName): number {
     return [...this.#registry.unfinished].filter((record) => record.order.group === group).length;
   }
@@ -69,10 +69,10 @@
   /** Whether the attempt is queued or running. */
   isUnfinished(key: AttemptKey): boolean {
     const record = this.#registry.find(key);
-    return record !== undefined && !record.isOver;
+    return record !== undefined && !record.isFinished;
   }
 
-  /** Who listens to the attempt now. */
+  /** Returns the attempt's current subscriber. */
   findSubscriber(key: AttemptKey): SubscriberId | undefined {
     return this.#registry.find(key)?.subscriber;
   }
@@ -80,15 +80,15 @@
   handle(event: AttemptEvent): readonly AttemptEffect[] {
     switch (event.type) {
       case 'arrived':
-        return this.#arrive(event);
+        return this.#handleArrival(event);
       case 'confirmed':
-        return this.#confirm(event);
+        return this.#handleConfirmation(event);
       case 'upstreamHead':
-        return this.#takeHead(event);
+        return this.#handleHead(event);
       case 'upstreamData':
-        return this.#takeData(event);
+        return this.#handleData(event);
       case 'upstreamEnded':
-        return this.#takeEnd(event);
+        return this.#handleUpstreamEnd(event);
       case 'asked':
         return this.#answerAsk(event);
       case 'resumed':
@@ -96,7 +96,7 @@
       case 'cancelled':
         return this.#cancel(event);
       case 'subscriberGone':
-        return this.#loseSubscriber(event);
+        return this.#removeSubscriber(event);
       case 'tick':
         return this.#tick(event.now);
       case 'drainStarted':
@@ -107,7 +107,7 @@
     }
   }
 
-  #arrive(event: EventOf<'arrived'>): readonly AttemptEffect[] {
+  #handleArrival(event: EventOf<'arrived'>): readonly AttemptEffect[] {
     this.#revision = Math.max(this.#revision, event.revision);
     const check = checkArrival(event.order, event.group, {
       incarnation: this.#incarnation,
@@ -121,12 +121,12 @@
       : this.#admit(event, check.group);
   }
 
-  #admit(event: EventOf<'arrived'>, group: GroupFacts): readonly AttemptEffect[] {
+  #admit(event: EventOf<'arrived'>, group: GroupSnapshot): readonly AttemptEffect[] {
     const { order, now, subscriber } = event;
-    const admission = this.#admissions.of(order.group);
+    const admission = this.#admissions.forGroup(order.group);
     admission.setCapacity(group.concurrency);
     const record = new AttemptRecord(order, subscriber, this.#limits.resumeBytes, now);
-    const verdict = admission.request(
+    const decision = admission.request(
       {
         key: record.key,
         account: order.account,
@@ -136,23 +136,24 @@
       },
       now,
     );
-    switch (verdict.type) {
+    switch (decision.type) {
       case 'refused':
-        return this.#refuseArrival(event, 'overloaded', verdict.retryAfter);
+        return this.#refuseArrival(event, 'overloaded', decision.retryAfter);
       case 'queued':
         this.#registry.add(record);
-        return this.#outbox.tell(record, { type: 'keepAlive', load: admission.load }, now);
+        return this.#outbox.send(record, { type: 'keepAlive', load: admission.load }, now);
       case 'start':
         this.#registry.add(record);
-        return this.#beginConfirm(record, now);
+        return this.#startConfirmation(record, now);
       default:
-        return assertNever(verdict);
+        return assertNever(decision);
     }
   }
 
   /**
-   * A refusal of an arrival leaves a tombstone: the gateway takes it for "not run", so a second copy of the message,
-   * which may meet a free slot, must not run either. A duplicate leaves none: its first copy may be running.
+   * Refuses an arriving attempt and adds a tombstone. The gateway treats the refusal as "not run", so a second copy of
+   * the message must not run either, even if a slot is free by then. A duplicate adds no tombstone, because its first
+   * copy may be running.
    */
   #refuseArrival(
     event: EventOf<'arrived'>,
@@ -161,72 +162,72 @@
   ): readonly AttemptEffect[] {
     const { order, subscriber, now } = event;
     if (code !== 'duplicateAttempt') {
-      this.#registry.bury(order.name, now);
+      this.#registry.addTombstone(order.name, now);
     }
     const load = this.#admissions.readLoad(order.group);
-    return this.#outbox.tellLast(subscriber, this.#refusalOf(code, load, retryAfter));
+    return this.#outbox.sendFinal(subscriber, this.#createRefusal(code, load, retryAfter));
   }
 
-  #beginConfirm(record: AttemptRecord, now: Milliseconds): readonly AttemptEffect[] {
-    record.step('slotFreed', now);
+  #startConfirmation(record: AttemptRecord, now: Milliseconds): readonly AttemptEffect[] {
+    record.transition('slotFreed', now);
     const { group, fencingNumber } = record.order;
     return [{ type: 'confirm', key: record.key, group, fencingNumber }];
   }
 
-  #confirm(event: EventOf<'confirmed'>): readonly AttemptEffect[] {
+  #handleConfirmation(event: EventOf<'confirmed'>): readonly AttemptEffect[] {
     const record = this.#registry.find(event.key);
     if (record?.stage !== 'confirming') {
       return [];
     }
     if (event.code !== 'ok') {
-      return this.#refuseKnown(record, event.code, shortRetryAfter, event.now);
+      return this.#refuseAdmitted(record, event.code, shortRetryAfter, event.now);
     }
-    record.step('groupConfirmed', event.now);
+    record.transition('groupConfirmed', event.now);
     const load = this.#admissions.readLoad(record.order.group);
     return [
       { type: 'startUpstream', key: record.key },
-      ...this.#outbox.tell(record, { type: 'accepted', load }, event.now),
+      ...this.#outbox.send(record, { type: 'accepted', load }, event.now),
     ];
   }
 
-  #takeHead(event: EventOf<'upstreamHead'>): readonly AttemptEffect[] {
+  #handleHead(event: EventOf<'upstreamHead'>): readonly AttemptEffect[] {
     const record = this.#findRunning(event.key);
     if (record === undefined) {
       return [];
     }
     const { status, headers, now } = event;
     record.setHead({ status, headers });
-    return this.#outbox.tell(record, { type: 'head', status, headers }, now);
+    return this.#outbox.send(record, { type: 'head', status, headers }, now);
   }
 
-  #takeData(event: EventOf<'upstreamData'>): readonly AttemptEffect[] {
+  #handleData(event: EventOf<'upstreamData'>): readonly AttemptEffect[] {
     const record = this.#findRunning(event.key);
     if (record === undefined) {
       return [];
     }
     const offset = record.buffer.append(event.bytes);
-    return this.#outbox.tell(record, { type: 'data', offset, bytes: event.bytes }, event.now);
+    return this.#outbox.send(record, { type: 'data', offset, bytes: event.bytes }, event.now);
   }
 
-  #takeEnd(event: EventOf<'upstreamEnded'>): readonly AttemptEffect[] {
+  #handleUpstreamEnd(event: EventOf<'upstreamEnded'>): readonly AttemptEffect[] {
     const record = this.#findRunning(event.key);
     return record === undefined ? [] : this.#end(record, event.code, event.now);
   }
 
-  /** Ends a running attempt, with or without a whole answer. */
+  /** Ends a running attempt, with or without a complete response. */
   #end(record: AttemptRecord, code: ResultCodeName, now: Milliseconds): readonly AttemptEffect[] {
-    record.step('end', now, code);
-    const admission = this.#admissions.of(record.order.group);
+    record.transition('end', now, code);
+    const admission = this.#admissions.forGroup(record.order.group);
     admission.release(record.key, now, code === 'ok');
     return [
-      ...this.#outbox.tell(record, record.describeEnd(admission.estimateRetryAfter()), now),
+      ...this.#outbox.send(record, record.createEndMessage(admission.estimateRetryAfter()), now),
       ...this.#finish(record, now),
       ...this.#startNext(record.order.group, now),
     ];
   }
 
   #answerAsk(event: EventOf<'asked'>): readonly AttemptEffect[] {
-    const state = this.#registry.ask(event.name, event.now);
+    const state = this.#registry.queryState(event.name, event.now);
     return [{ type: 'answerAsk', question: event.question, state }];
   }
 
@@ -240,7 +241,7 @@
     const closed = this.#outbox.close(record.subscriber);
     this.#registry.attach(record, subscriber, now);
     const replayed = this.#replay(record, offset, chunks, now);
-    return [...closed, ...replayed, ...(record.isOver ? this.#finish(record, now) : [])];
+    return [...closed, ...replayed, ...(record.isFinished ? this.#finish(record, now) : [])];
   }
 
   #replay(
@@ -252,39 +253,43 @@
     const load = this.#admissions.readLoad(record.order.group);
     switch (record.stage) {
       case 'refused':
-        return this.#outbox.tell(record, this.#refusalOf(record.code, load, shortRetryAfter), now);
+        return this.#outbox.send(
+          record,
+          this.#createRefusal(record.code, load, shortRetryAfter),
+          now,
+        );
       case 'queued':
       case 'confirming':
-        return this.#outbox.tell(record, { type: 'keepAlive', load }, now);
+        return this.#outbox.send(record, { type: 'keepAlive', load }, now);
       case 'running':
       case 'ended':
         return this.#outbox.replay(record, offset, chunks, load, now);
     }
   }
 
-  /** A cancellation that overtakes its attempt leaves a tombstone, so that the attempt does not run for nobody. */
+  /** A cancellation that arrives before its attempt adds a tombstone, so that it never runs without a client. */
   #cancel(event: EventOf<'cancelled'>): readonly AttemptEffect[] {
     const record = this.#registry.find(formatAttemptName(event.name));
     if (record === undefined) {
-      this.#registry.bury(event.name, event.now);
+      this.#registry.addTombstone(event.name, event.now);
       return [];
     }
     return this.#stop(record, 'cancelled', event.now);
   }
 
-  /** Ends an attempt that nobody wants or that has no time left, and lets the upstream know. */
+  /** Stops an attempt that was cancelled or has reached its deadline, and cancels its upstream request. */
   #stop(record: AttemptRecord, code: ResultCodeName, now: Milliseconds): readonly AttemptEffect[] {
-    if (record.isOver) {
+    if (record.isFinished) {
       return [];
     }
     if (record.stage !== 'running') {
-      return this.#refuseKnown(record, 'deadlineBeforeStart', 0, now);
+      return this.#refuseAdmitted(record, 'deadlineBeforeStart', 0, now);
     }
     return [{ type: 'cancelUpstream', key: record.key }, ...this.#end(record, code, now)];
   }
 
-  #loseSubscriber(event: EventOf<'subscriberGone'>): readonly AttemptEffect[] {
-    this.#outbox.forget(event.subscriber);
+  #removeSubscriber(event: EventOf<'subscriberGone'>): readonly AttemptEffect[] {
+    this.#outbox.removeSubscriber(event.subscriber);
     const record = this.#registry.findBySubscriber(event.subscriber);
     if (record !== undefined) {
       this.#registry.detach(record, event.now);
@@ -301,7 +306,7 @@
       effects.push(...this.#startNext(group, now));
     }
     for (const record of this.#registry.unfinished) {
-      effects.push(...this.#watch(record, now));
+      effects.push(...this.#checkUnfinished(record, now));
     }
     this.#registry.expire(now);
     return effects;
@@ -314,62 +319,62 @@
   ): readonly AttemptEffect[] {
     const record = this.#registry.find(key);
     const retryAfter = admission.estimateRetryAfter();
-    return record === undefined ? [] : this.#refuseKnown(record, 'overloaded', retryAfter, now);
+    return record === undefined ? [] : this.#refuseAdmitted(record, 'overloaded', retryAfter, now);
   }
 
-  /** Keep-alive for a listener; an end for an attempt without one, or without time. */
-  #watch(record: AttemptRecord, now: Milliseconds): readonly AttemptEffect[] {
+  /** Stops an attempt past its deadline or without a subscriber for too long; otherwise sends a keep-alive when due. */
+  #checkUnfinished(record: AttemptRecord, now: Milliseconds): readonly AttemptEffect[] {
     const { subscriber, detachedAt } = record;
     if (now >= record.deadline) {
       return this.#stop(record, 'deadlineAfterStart', now);
     }
     if (subscriber === undefined) {
-      const isForgotten = now - (detachedAt ?? now) >= this.#limits.detachedGrace;
-      return isForgotten ? this.#stop(record, 'cancelled', now) : [];
+      const isAbandoned = now - (detachedAt ?? now) >= this.#limits.detachedGrace;
+      return isAbandoned ? this.#stop(record, 'cancelled', now) : [];
     }
-    if (!this.#outbox.isQuiet(subscriber, now, this.#limits.keepAliveInterval)) {
+    if (!this.#outbox.isIdle(subscriber, now, this.#limits.keepAliveInterval)) {
       return [];
     }
     const load = this.#admissions.readLoad(record.order.group);
-    return this.#outbox.tell(record, { type: 'keepAlive', load }, now);
+    return this.#outbox.send(record, { type: 'keepAlive', load }, now);
   }
 
   #startNext(group: GroupName, now: Milliseconds): readonly AttemptEffect[] {
-    const started = this.#admissions.of(group).startNext(now);
+    const started = this.#admissions.forGroup(group).startNext(now);
     return started.flatMap((key) => {
       const record = this.#registry.find(key);
-      return record === undefined ? [] : this.#beginConfirm(record, now);
+      return record === undefined ? [] : this.#startConfirmation(record, now);
     });
   }
 
-  /** Refuses an attempt that was taken in but has not reached the upstream. */
-  #refuseKnown(
+  /** Refuses an attempt that was admitted but not yet passed to the upstream. */
+  #refuseAdmitted(
     record: AttemptRecord,
     code: ResultCodeName,
     retryAfter: Milliseconds,
     now: Milliseconds,
   ): readonly AttemptEffect[] {
-    if (!record.step('refuse', now, code)) {
+    if (!record.transition('refuse', now, code)) {
       return [];
     }
-    const admission = this.#admissions.of(record.order.group);
+    const admission = this.#admissions.forGroup(record.order.group);
     admission.release(record.key, now, false);
     return [
       { type: 'dropRequest', key: record.key },
-      ...this.#outbox.tell(record, this.#refusalOf(code, admission.load, retryAfter), now),
+      ...this.#outbox.send(record, this.#createRefusal(code, admission.load, retryAfter), now),
       ...this.#finish(record, now),
       ...this.#startNext(record.order.group, now),
     ];
   }
 
-  #refusalOf(code: ResultCodeName, load: Load, retryAfter: Milliseconds): AttemptMessage {
+  #createRefusal(code: ResultCodeName, load: Load, retryAfter: Milliseconds): AttemptMessage {
     const configurationRevision = this.#revision;
     return { type: 'refused', refusal: { code, load, retryAfter, configurationRevision } };
   }
 
   #finish(record: AttemptRecord, now: Milliseconds): readonly AttemptEffect[] {
     const closed = this.#outbox.close(record.subscriber);
-    this.#registry.noteOver(record, now);
+    this.#registry.markFinished(record, now);
     this.#registry.detach(record, now);
     return closed;
   }
--- a/src/sidecar/attempts/attempt-machine.ts
+++ b/src/sidecar/attempts/attempt-machine.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '../../common/index.js';
 import { StepTable } from './step-table.js';
 
-/** The life of one attempt at a sidecar. */
+/** State machine for the lifecycle of one attempt at a sidecar. */
 const attemptMachine = createMachine({
   id: 'attempt',
   initial: 'queued',
@@ -22,18 +22,18 @@
   },
 });
 
-/** What moves an attempt on. */
-export type AttemptStep = 'slotFreed' | 'groupConfirmed' | 'refuse' | 'cancel' | 'end';
+/** Events that trigger a stage change of an attempt. */
+export type AttemptTransition = 'slotFreed' | 'groupConfirmed' | 'refuse' | 'cancel' | 'end';
 
-/** Where an attempt stands. */
+/** Lifecycle stages of an attempt. */
 export type AttemptStage = 'queued' | 'confirming' | 'running' | 'ended' | 'refused';
 
-const attemptSteps = new StepTable<AttemptStage, AttemptStep>((stage, step) => {
+const attemptTransitions = new StepTable<AttemptStage, AttemptTransition>((stage, event) => {
   const snapshot = attemptMachine.resolveState({ value: stage });
-  return transition(attemptMachine, snapshot, { type: step })[0].value as AttemptStage;
+  return transition(attemptMachine, snapshot, { type: event })[0].value as AttemptStage;
 });
 
-/** Steps the machine and holds its present stage. */
+/** Applies events to the state machine and holds the current stage. */
 export class AttemptLifecycle {
   #stage: AttemptStage = 'queued';
   #changedAt: Milliseconds;
@@ -46,14 +46,14 @@
     return this.#stage;
   }
 
-  /** Monotonic time of the last step. */
+  /** Monotonic time of the last stage change. */
   get changedAt(): Milliseconds {
     return this.#changedAt;
   }
 
-  /** Takes a step; false when the present stage does not allow it, and nothing changes. */
-  step(step: AttemptStep, now: Milliseconds): boolean {
-    const next = attemptSteps.find(this.#stage, step);
+  /** Applies an event. Returns false and changes nothing when the current stage does not allow it. */
+  transition(event: AttemptTransition, now: Milliseconds): boolean {
+    const next = attemptTransitions.find(this.#stage, event);
     if (next === this.#stage) {
       return false;
     }
--- a/src/sidecar/attempts/attempt-outbox.ts
+++ b/src/sidecar/attempts/attempt-outbox.ts
@@ -3,12 +3,12 @@
 import type { AttemptRecord } from './attempt-record.js';
 import type { AttemptEffect, AttemptMessage, SubscriberId } from './messages.js';
 
-/** What goes to the listeners of attempts, and when each of them last heard something. */
+/** Creates the messages for subscribers and records when each subscriber was last sent one. */
 export class AttemptOutbox {
   readonly #lastSent = new Map<SubscriberId, Milliseconds>();
 
-  /** Tells whoever listens to the attempt; nothing when nobody does. */
-  tell(
+  /** Sends a message to the attempt's subscriber, if there is one. */
+  send(
     record: AttemptRecord,
     message: AttemptMessage,
     now: Milliseconds,
@@ -21,12 +21,12 @@
     return [{ type: 'send', subscriber, message }];
   }
 
-  /** Sends a listener its last message. */
-  tellLast(subscriber: SubscriberId, message: AttemptMessage): readonly AttemptEffect[] {
+  /** Sends a subscriber its last message and closes its stream. */
+  sendFinal(subscriber: SubscriberId, message: AttemptMessage): readonly AttemptEffect[] {
     return [{ type: 'send', subscriber, message }, ...this.close(subscriber)];
   }
 
-  /** Ends a listener's stream. */
+  /** Closes a subscriber's stream. */
   close(subscriber: SubscriberId | undefined): readonly AttemptEffect[] {
     if (subscriber === undefined) {
       return [];
@@ -35,18 +35,18 @@
     return [{ type: 'closeSubscriber', subscriber }];
   }
 
-  /** A listener is gone by itself. */
-  forget(subscriber: SubscriberId): void {
+  /** Removes a subscriber that has disconnected. */
+  removeSubscriber(subscriber: SubscriberId): void {
     this.#lastSent.delete(subscriber);
   }
 
-  /** Whether a listener has heard nothing for an interval. */
-  isQuiet(subscriber: SubscriberId, now: Milliseconds, interval: Milliseconds): boolean {
+  /** Whether a subscriber has been sent nothing for an interval. */
+  isIdle(subscriber: SubscriberId, now: Milliseconds, interval: Milliseconds): boolean {
     const lastSent = this.#lastSent.get(subscriber);
     return lastSent === undefined || now - lastSent >= interval;
   }
 
-  /** All that a gateway needs to go on from an offset; the bytes from there on are passed in. */
+  /** Sends everything a gateway needs to resume at an offset; `chunks` are the bytes from there on. */
   replay(
     record: AttemptRecord,
     offset: number,
@@ -64,8 +64,8 @@
       position += bytes.length;
     }
     if (record.stage === 'ended') {
-      messages.push(record.describeEnd(0));
+      messages.push(record.createEndMessage(0));
     }
-    return messages.flatMap((message) => this.tell(record, message, now));
+    return messages.flatMap((message) => this.send(record, message, now));
   }
 }
--- a/src/sidecar/attempts/attempt-record.ts
+++ b/src/sidecar/attempts/attempt-record.ts
@@ -1,28 +1,28 @@
 import type { Milliseconds, ResultCodeName } from '../../common/index.js';
 import type { AttemptName, AttemptOrder, AttemptState } from '../../model/index.js';
 import { formatAttemptName } from '../../model/index.js';
-import { AttemptLifecycle, type AttemptStage, type AttemptStep } from './attempt-machine.js';
+import { AttemptLifecycle, type AttemptStage, type AttemptTransition } from './attempt-machine.js';
 import type { AttemptKey, AttemptMessage, HeaderField, SubscriberId } from './messages.js';
 import { ResumeBuffer } from './resume-buffer.js';
 
-/** Status and header fields of an answer. */
-export interface AnswerHead {
+/** Status and header fields of a response. */
+export interface ResponseHead {
   readonly status: number;
   readonly headers: readonly HeaderField[];
 }
 
-/** One attempt that this sidecar took in, from its arrival until it is forgotten. */
+/** One attempt that this sidecar queued or started, from arrival until its entry is evicted. */
 export class AttemptRecord {
   readonly name: AttemptName;
   readonly key: AttemptKey;
   readonly order: AttemptOrder;
-  /** Monotonic time at which the request has no time left. */
+  /** Monotonic time at which the request times out. */
   readonly deadline: Milliseconds;
   readonly buffer: ResumeBuffer;
   readonly #lifecycle: AttemptLifecycle;
   #subscriber: SubscriberId | undefined;
   #detachedAt: Milliseconds | undefined;
-  #head: AnswerHead | undefined;
+  #head: ResponseHead | undefined;
   #code: ResultCodeName = 'ok';
 
   constructor(
@@ -52,38 +52,38 @@
     return this.#subscriber;
   }
 
-  /** Since when nobody listens; undefined while somebody does. */
+  /** Time at which the last subscriber was detached; undefined while there is a subscriber. */
   get detachedAt(): Milliseconds | undefined {
     return this.#detachedAt;
   }
 
-  get head(): AnswerHead | undefined {
+  get head(): ResponseHead | undefined {
     return this.#head;
   }
 
-  /** Why it ended or was refused; `ok` for a whole answer. */
+  /** Why the attempt ended or was refused; `ok` for a complete response. */
   get code(): ResultCodeName {
     return this.#code;
   }
 
-  /** Whether the attempt is over. */
-  get isOver(): boolean {
+  /** Whether the attempt has ended or was refused. */
+  get isFinished(): boolean {
     return this.stage === 'ended' || this.stage === 'refused';
   }
 
-  /** Takes a step; false when it is not allowed now. */
-  step(step: AttemptStep, now: Milliseconds, code: ResultCodeName = 'ok'): boolean {
-    if (!this.#lifecycle.step(step, now)) {
+  /** Applies an event; returns false if the current stage does not allow it. */
+  transition(event: AttemptTransition, now: Milliseconds, code: ResultCodeName = 'ok'): boolean {
+    if (!this.#lifecycle.transition(event, now)) {
       return false;
     }
-    if (this.isOver) {
+    if (this.isFinished) {
       this.#code = code;
     }
     return true;
   }
 
-  /** Sets the head of the answer; the first one stands. */
-  setHead(head: AnswerHead): void {
+  /** Sets the response head; later calls have no effect. */
+  setHead(head: ResponseHead): void {
     this.#head ??= head;
   }
 
@@ -97,8 +97,8 @@
     this.#detachedAt = now;
   }
 
-  /** What a gateway that asks after the attempt is told. */
-  describe(): AttemptState {
+  /** State reported to a gateway that queries the attempt. */
+  toState(): AttemptState {
     const { firstOffset, nextOffset } = this.buffer;
     switch (this.stage) {
       case 'refused':
@@ -112,8 +112,8 @@
     }
   }
 
-  /** The message that says how the attempt ended. */
-  describeEnd(retryAfter: Milliseconds): AttemptMessage {
+  /** Creates the final message with the outcome of the attempt. */
+  createEndMessage(retryAfter: Milliseconds): AttemptMessage {
     const totalBytes = this.buffer.nextOffset;
     return { type: 'ended', totalBytes, code: this.#code, retryAfter };
   }
--- a/src/sidecar/attempts/attempt-registry.ts
+++ b/src/sidecar/attempts/attempt-registry.ts
@@ -5,57 +5,58 @@
 import type { AttemptKey, SubscriberId } from './messages.js';
 import { readRequestTime } from './request-identifier.js';
 
-/** Bounds on what a sidecar remembers of attempts. */
+/** Limits on the attempt history that a sidecar retains. */
 export interface RegistryLimits {
-  /** How long the outcome of an attempt or a tombstone stays; longer than any request may take. */
-  readonly memory: Milliseconds;
-  /** How far a gateway's wall clock may be ahead. */
+  /** How long outcomes and tombstones are retained; longer than any request may take. */
+  readonly retention: Milliseconds;
+  /** How far a gateway's wall clock may be ahead of this one. */
   readonly maximumClockLead: Milliseconds;
-  /** How long the bytes of an ended answer can still be taken up again. */
+  /** How long a gateway can still resume the stream of a finished response. */
   readonly resumeWindow: Milliseconds;
-  /** Memory bound: outcomes and tombstones remembered; the oldest are forgotten first. */
-  readonly maximumRemembered: number;
-  /** Memory bound: bytes of ended answers kept for taking them up again; the oldest go first. */
+  /** Memory limit: number of retained outcomes and tombstones; the oldest are evicted first. */
+  readonly maximumRetained: number;
+  /** Memory limit: bytes of finished responses kept for resuming; the oldest are discarded first. */
   readonly maximumEndedBytes: number;
 }
 
-/** Bounds for the sizes of letter 1: 23 attempts a second leave some 17,000 outcomes. */
+/** Sized for the specified load: 23 attempts per second accumulate about 17,000 outcomes. */
 export const defaultRegistryLimits: RegistryLimits = {
-  memory: 12 * 60_000,
+  retention: 12 * 60_000,
   maximumClockLead: 60_000,
   resumeWindow: 30_000,
-  maximumRemembered: 100_000,
+  maximumRetained: 100_000,
   maximumEndedBytes: 32 * 1024 * 1024,
 };
 
-/** What the registry knows of a newly arrived attempt. */
-export type ArrivalVerdict = 'new' | 'known' | 'tombstoned' | 'tooOld';
+/** How the registry classifies an attempt that has just arrived. */
+export type ArrivalStatus = 'new' | 'known' | 'tombstoned' | 'tooOld';
 
-/** A tombstone, or an attempt that is over. */
-interface Remembered {
+/** A tombstone (without a record) or a finished attempt. */
+interface RetainedEntry {
   readonly record: AttemptRecord | undefined;
   readonly since: Milliseconds;
   readonly requestTime: WallTime;
 }
 
 /**
- * Which attempts this sidecar has seen, so that none starts twice and none starts that was declared not run.
+ * Tracks the attempts that this sidecar has seen, so that none starts twice and none starts after it was reported as
+ * not run.
  *
- * What goes wrong without it: a gateway's connection goes silent with the attempt still in some buffer; the gateway
- * asks after it, hears "never seen", and sends the request elsewhere; then the buffer drains and the request runs twice.
- * The tombstone left by the question refuses the late copy.
+ * The failure this prevents: a gateway's connection goes silent while the attempt is still in a buffer. The gateway
+ * queries the attempt's state, gets "never seen" and sends the request elsewhere. Then the buffer drains and the
+ * request runs twice. The query therefore leaves a tombstone, and the late copy is refused.
  *
- * Expiry: whatever is forgotten, by age or because memory is full, raises a watermark to the wall time at which its
- * request was made. An unknown attempt whose request is not younger than the watermark is refused, so a message that
- * comes after its tombstone was forgotten cannot start either, however late it is and whatever the clocks say.
+ * Eviction: each evicted entry, whether by age or by the memory limit, raises a watermark to the wall time at which its
+ * request was created. An unknown attempt whose request is not newer than the watermark is refused. So a message that
+ * arrives after its tombstone was evicted cannot start either, regardless of its delay and of clock differences.
  */
 export class AttemptRegistry {
   readonly #incarnation: Incarnation;
   readonly #limits: RegistryLimits;
   readonly #live = new Map<AttemptKey, AttemptRecord>();
   /** Oldest first. */
-  readonly #remembered = new Map<AttemptKey, Remembered>();
-  /** Ended attempts whose bytes are still held, oldest first. */
+  readonly #retained = new Map<AttemptKey, RetainedEntry>();
+  /** Finished attempts whose response bytes are still buffered, oldest first. */
   readonly #resumable = new Set<AttemptRecord>();
   readonly #bySubscriber = new Map<SubscriberId, AttemptRecord>();
   #endedBytes = 0;
@@ -66,32 +67,32 @@
     this.#limits = limits;
   }
 
-  /** Attempts that are not over. */
+  /** Attempts that are queued, being confirmed or running. */
   get unfinished(): Iterable<AttemptRecord> {
     return this.#live.values();
   }
 
-  /** Number of attempts that are not over. */
+  /** Number of unfinished attempts. */
   get unfinishedCount(): number {
     return this.#live.size;
   }
 
-  /** Judges an attempt that has just come. */
-  judge(name: AttemptName, wallNow: WallTime): ArrivalVerdict {
+  /** Classifies an attempt that has just arrived. */
+  classifyArrival(name: AttemptName, wallNow: WallTime): ArrivalStatus {
     const key = formatAttemptName(name);
-    const remembered = this.#remembered.get(key);
-    if (remembered !== undefined && remembered.record === undefined) {
+    const entry = this.#retained.get(key);
+    if (entry !== undefined && entry.record === undefined) {
       return 'tombstoned';
     }
-    if (remembered !== undefined || this.#live.has(key)) {
+    if (entry !== undefined || this.#live.has(key)) {
       return 'known';
     }
-    const madeAt = readRequestTime(name.requestId);
-    const isJudged =
-      madeAt !== undefined &&
-      madeAt > this.#watermark &&
-      madeAt <= wallNow + this.#limits.maximumClockLead;
-    return isJudged ? 'new' : 'tooOld';
+    const createdAt = readRequestTime(name.requestId);
+    const isInWindow =
+      createdAt !== undefined &&
+      createdAt > this.#watermark &&
+      createdAt <= wallNow + this.#limits.maximumClockLead;
+    return isInWindow ? 'new' : 'tooOld';
   }
 
   add(record: AttemptRecord): void {
@@ -102,7 +103,7 @@
   }
 
   find(key: AttemptKey): AttemptRecord | undefined {
-    return this.#live.get(key) ?? this.#remembered.get(key)?.record;
+    return this.#live.get(key) ?? this.#retained.get(key)?.record;
   }
 
   findBySubscriber(subscriber: SubscriberId): AttemptRecord | undefined {
@@ -122,90 +123,93 @@
     record.detach(now);
   }
 
-  /** Answers a gateway that asks after an attempt; "never seen" leaves a tombstone. */
-  ask(name: AttemptName, now: Milliseconds): AttemptState {
+  /** Reports the state of an attempt to a gateway. The result "never seen" leaves a tombstone. */
+  queryState(name: AttemptName, now: Milliseconds): AttemptState {
     if (name.incarnation !== this.#incarnation) {
       return { type: 'otherIncarnation' };
     }
     const record = this.find(formatAttemptName(name));
     if (record !== undefined) {
-      return record.describe();
+      return record.toState();
     }
-    this.bury(name, now);
+    this.addTombstone(name, now);
     return { type: 'neverSeen' };
   }
 
-  /** Leaves a tombstone: an attempt that is not known now will never run here. One for another incarnation never would. */
-  bury(name: AttemptName, now: Milliseconds): void {
+  /**
+   * Adds a tombstone for an attempt that is not known yet, so that it never runs here. Attempts for another incarnation
+   * need none, because they are always refused.
+   */
+  addTombstone(name: AttemptName, now: Milliseconds): void {
     const key = formatAttemptName(name);
-    const isOurs = name.incarnation === this.#incarnation;
-    if (isOurs && !this.#live.has(key) && !this.#remembered.has(key)) {
-      this.#remember(key, undefined, name, now);
+    const isCurrentIncarnation = name.incarnation === this.#incarnation;
+    if (isCurrentIncarnation && !this.#live.has(key) && !this.#retained.has(key)) {
+      this.#retain(key, undefined, name, now);
     }
   }
 
-  /** Called once for a record that is over. */
-  noteOver(record: AttemptRecord, now: Milliseconds): void {
+  /** Moves a finished attempt to the retained entries; later calls for the same record have no effect. */
+  markFinished(record: AttemptRecord, now: Milliseconds): void {
     if (!this.#live.delete(record.key)) {
       return;
     }
-    this.#remember(record.key, record, record.name, now);
+    this.#retain(record.key, record, record.name, now);
     this.#resumable.add(record);
     this.#endedBytes += record.buffer.size;
-    this.#boundBytes();
+    this.#enforceByteLimit();
   }
 
-  /** Forgets what is older than the limits say. */
+  /** Discards response bytes and entries that have exceeded their retention time. */
   expire(now: Milliseconds): void {
     for (const record of this.#resumable) {
       if (now - record.changedAt < this.#limits.resumeWindow) {
         break;
       }
-      this.#dropBytes(record);
+      this.#discardBytes(record);
     }
-    for (const [key, remembered] of this.#remembered) {
-      if (now - remembered.since < this.#limits.memory) {
+    for (const [key, entry] of this.#retained) {
+      if (now - entry.since < this.#limits.retention) {
         break;
       }
-      this.#forget(key, remembered);
+      this.#evict(key, entry);
     }
   }
 
-  #remember(
+  #retain(
     key: AttemptKey,
     record: AttemptRecord | undefined,
     name: AttemptName,
     now: Milliseconds,
   ): void {
     const requestTime = readRequestTime(name.requestId) ?? Number.NEGATIVE_INFINITY;
-    this.#remembered.set(key, { record, since: now, requestTime });
-    if (this.#remembered.size <= this.#limits.maximumRemembered) {
+    this.#retained.set(key, { record, since: now, requestTime });
+    if (this.#retained.size <= this.#limits.maximumRetained) {
       return;
     }
-    for (const [oldestKey, oldest] of this.#remembered) {
-      this.#forget(oldestKey, oldest);
+    for (const [oldestKey, oldest] of this.#retained) {
+      this.#evict(oldestKey, oldest);
       return;
     }
   }
 
-  #forget(key: AttemptKey, remembered: Remembered): void {
-    this.#remembered.delete(key);
-    this.#watermark = Math.max(this.#watermark, remembered.requestTime);
-    if (remembered.record !== undefined) {
-      this.#dropBytes(remembered.record);
+  #evict(key: AttemptKey, entry: RetainedEntry): void {
+    this.#retained.delete(key);
+    this.#watermark = Math.max(this.#watermark, entry.requestTime);
+    if (entry.record !== undefined) {
+      this.#discardBytes(entry.record);
     }
   }
 
-  #boundBytes(): void {
+  #enforceByteLimit(): void {
     for (const record of this.#resumable) {
       if (this.#endedBytes <= this.#limits.maximumEndedBytes) {
         return;
       }
-      this.#dropBytes(record);
+      this.#discardBytes(record);
     }
   }
 
-  #dropBytes(record: AttemptRecord): void {
+  #discardBytes(record: AttemptRecord): void {
     if (this.#resumable.delete(record)) {
       this.#endedBytes -= record.buffer.size;
       record.buffer.clear();
--- a/src/sidecar/attempts/attempt-service.ts
+++ b/src/sidecar/attempts/attempt-service.ts
@@ -31,12 +31,12 @@
   AttemptEffect,
   AttemptEvent,
   AttemptKey,
-  GroupFacts,
+  GroupSnapshot,
   SubscriberId,
   UpstreamRequest,
 } from './messages.js';
 import { MessageOutlet } from './message-outlet.js';
-import type { UpstreamCaller } from './upstream-caller.js';
+import type { UpstreamClient } from './upstream-client.js';
 import { UpstreamRelay } from './upstream-relay.js';
 import {
   decodeAttemptName,
@@ -45,51 +45,51 @@
   encodeAttemptState,
 } from './wire.js';
 
-/** A group as the sidecar that leads it admits work to it. */
+/** State of a group that decides whether its leading sidecar admits attempts. */
 export interface GroupAdmission {
   readonly group: Group;
-  /** Whether every lease is held at a monotonic time. */
+  /** Whether the leases of all group members are held at a monotonic time. */
   readonly isWhole: (now: Milliseconds) => boolean;
   readonly isDraining: boolean;
-  /** Attempts that the upstream takes at a time. */
+  /** Maximum number of concurrent attempts at the upstream. */
   readonly concurrency: number;
 }
 
-/** What the attempts of a sidecar need from the rest of it. */
+/** Dependencies and settings of `AttemptService`. */
 export interface AttemptServiceOptions {
   readonly incarnation: Incarnation;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** The group, when this sidecar leads it. */
+  /** Returns the group if this sidecar leads it. */
   readonly readGroup: (name: GroupName) => GroupAdmission | undefined;
-  /** Asks the members once more, right before an attempt is handed to the upstream. */
+  /** Rechecks the leases with the group members immediately before an attempt is passed to the upstream. */
   readonly confirmWhole: (group: Group) => Promise<boolean>;
   /** Highest configuration revision seen. */
   readonly readRevision: () => Revision;
-  /** Told of a newer revision that an attempt carried. */
+  /** Called when an attempt carries a newer configuration revision. */
   readonly noticeRevision?: (revision: Revision) => void;
-  readonly upstream: UpstreamCaller;
+  readonly upstream: UpstreamClient;
   readonly limits?: AttemptLimits;
-  /** Told `ok` of each attempt handed to the upstream, and the code of each that is refused. */
+  /** Called with `ok` for each attempt passed to the upstream, and with the result code for each refused attempt. */
   readonly observe?: (result: ResultCodeName) => void;
 }
 
 type EffectOf<Type extends AttemptEffect['type']> = Extract<AttemptEffect, { readonly type: Type }>;
 
 const tickInterval: Milliseconds = 50;
-/** Messages that may wait for a slow connection before the upstream's answer is read no further. */
+/** Maximum number of messages queued for a slow connection before reading of the upstream's response is paused. */
 const maximumQueuedMessages = 256;
 
-/** The shell of AttemptService at a sidecar: carries out what its `AttemptController` decides. */
+/** Server side of AttemptService in a sidecar: passes events to `AttemptController` and executes its effects. */
 export class AttemptService implements ManagedPart {
   readonly name = 'attempts';
   readonly #options: AttemptServiceOptions;
   readonly #controller: AttemptController;
-  readonly #outlets = new Map<SubscriberId, MessageOutlet>();
+  readonly #streams = new Map<SubscriberId, MessageOutlet>();
   readonly #requests = new Map<AttemptKey, UpstreamRequest>();
   readonly #relay: UpstreamRelay;
-  readonly #questions = new Map<number, (state: AttemptState) => void>();
-  #nextNumber = 1;
+  readonly #pendingQueries = new Map<number, (state: AttemptState) => void>();
+  #nextId = 1;
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: AttemptServiceOptions) {
@@ -105,16 +105,16 @@
       handle: (event) => {
         this.#handle(event);
       },
-      findWait: (key) => this.#findWait(key),
+      waitForCapacity: (key) => this.#waitForCapacity(key),
     });
   }
 
-  /** Attempts that are queued or running. */
+  /** Number of attempts that are queued or running. */
   get unfinishedCount(): number {
     return this.#controller.unfinishedCount;
   }
 
-  /** Attempts of one group that are queued or running; 0 means that its drain is over. */
+  /** Number of queued or running attempts of one group; the group's drain is complete at 0. */
   countUnfinished(group: GroupName): number {
     return this.#controller.countUnfinished(group);
   }
@@ -134,12 +134,12 @@
     }, tickInterval);
   }
 
-  /** Refuses new attempts from now on; those taken in go on. */
+  /** Refuses new attempts from now on; admitted attempts continue. */
   startDrain(): void {
     this.#handle({ type: 'drainStarted', now: this.#now() });
   }
 
-  /** Resolves when no attempt is left, or at the limit with the names of those that would be cut. */
+  /** Resolves when no attempt is left or the time limit is reached, with the keys of the unfinished attempts. */
   async drain(limit: Milliseconds): Promise<readonly string[]> {
     this.startDrain();
     const end = this.#now() + limit;
@@ -156,16 +156,16 @@
   close(): void {
     clearInterval(this.#timer);
     this.#relay.close();
-    for (const outlet of this.#outlets.values()) {
-      outlet.close();
+    for (const stream of this.#streams.values()) {
+      stream.close();
     }
   }
 
   #run(request: RunRequest, context: HandlerContext): AsyncIterable<RunResponse> {
     const order = decodeOrder(request);
     const key = formatAttemptName(order.name);
-    const group = this.#readFacts(order.group);
-    const { revision, subscriber, outlet } = this.#subscribe(context);
+    const group = this.#readGroupSnapshot(order.group);
+    const { revision, subscriber, stream } = this.#subscribe(context);
     if (order.configurationRevision > revision) {
       this.#options.noticeRevision?.(order.configurationRevision);
     }
@@ -175,22 +175,22 @@
     const wallNow = this.#options.clock.wall();
     const now = this.#now();
     this.#handle({ type: 'arrived', now, wallNow, subscriber, order, group, revision });
-    this.#forgetRefused(key);
-    return outlet;
+    this.#dropRefusedRequest(key);
+    return stream;
   }
 
   #resume(request: ResumeRequest, context: HandlerContext): AsyncIterable<RunResponse> {
-    const { subscriber, outlet } = this.#subscribe(context);
+    const { subscriber, stream } = this.#subscribe(context);
     const name = decodeAttemptName(request.name);
     const offset = Number(request.offset);
     this.#handle({ type: 'resumed', now: this.#now(), subscriber, name, offset });
-    return outlet;
+    return stream;
   }
 
   #ask(request: AskRequest): Promise<AskResponse> {
-    const question = this.#takeNumber();
+    const question = this.#allocateId();
     return new Promise((resolve) => {
-      this.#questions.set(question, (state) => {
+      this.#pendingQueries.set(question, (state) => {
         resolve(encodeAttemptState(state));
       });
       const name = decodeAttemptName(request.name);
@@ -206,20 +206,20 @@
   #subscribe(context: HandlerContext): {
     readonly revision: Revision;
     readonly subscriber: SubscriberId;
-    readonly outlet: MessageOutlet;
+    readonly stream: MessageOutlet;
   } {
-    const subscriber = this.#takeNumber();
-    const outlet = new MessageOutlet();
-    this.#outlets.set(subscriber, outlet);
+    const subscriber = this.#allocateId();
+    const stream = new MessageOutlet();
+    this.#streams.set(subscriber, stream);
     context.signal.addEventListener('abort', () => {
-      outlet.abandon();
-      this.#outlets.delete(subscriber);
+      stream.abandon();
+      this.#streams.delete(subscriber);
       this.#handle({ type: 'subscriberGone', now: this.#now(), subscriber });
     });
-    return { revision: this.#options.readRevision(), subscriber, outlet };
+    return { revision: this.#options.readRevision(), subscriber, stream };
   }
 
-  #readFacts(name: GroupName): GroupFacts | undefined {
+  #readGroupSnapshot(name: GroupName): GroupSnapshot | undefined {
     const admission = this.#options.readGroup(name);
     if (admission === undefined) {
       return undefined;
@@ -234,21 +234,21 @@
 
   #handle(event: AttemptEvent): void {
     for (const effect of this.#controller.handle(event)) {
-      this.#carryOut(effect);
+      this.#execute(effect);
     }
   }
 
-  #carryOut(effect: AttemptEffect): void {
+  #execute(effect: AttemptEffect): void {
     switch (effect.type) {
       case 'send':
         if (effect.message.type === 'refused') {
           this.#options.observe?.(effect.message.refusal.code);
         }
-        this.#outlets.get(effect.subscriber)?.push(effect.message);
+        this.#streams.get(effect.subscriber)?.push(effect.message);
         return;
       case 'closeSubscriber':
-        this.#outlets.get(effect.subscriber)?.close();
-        this.#outlets.delete(effect.subscriber);
+        this.#streams.get(effect.subscriber)?.close();
+        this.#streams.delete(effect.subscriber);
         return;
       case 'confirm':
         void this.#confirm(effect);
@@ -264,8 +264,8 @@
         this.#requests.delete(effect.key);
         return;
       case 'answerAsk':
-        this.#questions.get(effect.question)?.(effect.state);
-        this.#questions.delete(effect.question);
+        this.#pendingQueries.get(effect.question)?.(effect.state);
+        this.#pendingQueries.delete(effect.question);
         return;
       default:
         assertNever(effect);
@@ -273,12 +273,12 @@
   }
 
   async #confirm(effect: EffectOf<'confirm'>): Promise<void> {
-    const code = await this.#findConfirmation(effect);
+    const code = await this.#checkGroup(effect);
     this.#handle({ type: 'confirmed', now: this.#now(), key: effect.key, code });
   }
 
-  /** `ok` when the group that the attempt was meant for is whole now. */
-  async #findConfirmation(effect: EffectOf<'confirm'>): Promise<ResultCodeName> {
+  /** Returns `ok` if the fencing number still matches and the leases of all group members are held now. */
+  async #checkGroup(effect: EffectOf<'confirm'>): Promise<ResultCodeName> {
     const { group, fencingNumber } = effect;
     const admission = this.#options.readGroup(group);
     if (admission?.group.fencingNumber !== fencingNumber) {
@@ -287,7 +287,10 @@
     try {
       return (await this.#options.confirmWhole(admission.group)) ? 'ok' : 'notWhole';
     } catch (error) {
-      this.#options.logger.warn({ err: error, group, fencingNumber }, 'group not confirmed');
+      this.#options.logger.warn(
+        { err: error, group, fencingNumber },
+        'failed to confirm the leases of the group members',
+      );
       return 'notWhole';
     }
   }
@@ -301,23 +304,26 @@
     void this.#relay.run(key, request);
   }
 
-  /** Reads the upstream no faster than the gateway takes the answer, so that memory stays bounded; undefined: read on. */
-  #findWait(key: AttemptKey): Promise<void> | undefined {
+  /**
+   * Limits memory use by pausing reads from the upstream while too many messages are queued for the gateway. Returns
+   * undefined if reading can continue.
+   */
+  #waitForCapacity(key: AttemptKey): Promise<void> | undefined {
     const subscriber = this.#controller.findSubscriber(key);
-    const outlet = subscriber === undefined ? undefined : this.#outlets.get(subscriber);
-    const isFull = outlet !== undefined && outlet.length > maximumQueuedMessages;
-    return isFull ? outlet.waitUntilBelow(maximumQueuedMessages) : undefined;
+    const stream = subscriber === undefined ? undefined : this.#streams.get(subscriber);
+    const isFull = stream !== undefined && stream.length > maximumQueuedMessages;
+    return isFull ? stream.waitUntilBelow(maximumQueuedMessages) : undefined;
   }
 
-  #forgetRefused(key: AttemptKey): void {
+  #dropRefusedRequest(key: AttemptKey): void {
     if (!this.#controller.isUnfinished(key)) {
       this.#requests.delete(key);
     }
   }
 
-  #takeNumber(): number {
-    const number = this.#nextNumber;
-    this.#nextNumber += 1;
+  #allocateId(): number {
+    const number = this.#nextId;
+    this.#nextId += 1;
     return number;
   }
 
@@ -326,7 +332,6 @@
   }
 }
 
-/** Makes the attempts' part of a sidecar. */
 export function createAttemptService(options: AttemptServiceOptions): AttemptService {
   return new AttemptService(options);
 }
--- a/src/sidecar/attempts/drain-rate.ts
+++ b/src/sidecar/attempts/drain-rate.ts
@@ -1,30 +1,30 @@
 import type { Milliseconds } from '../../common/index.js';
 
-/** Service time assumed before the first answer was measured. */
+/** Service time assumed until the first response has been measured. */
 const initialServiceTime: Milliseconds = 1000;
-/** Weight of the newest service time in the moving average. */
-const newestShare = 0.1;
-/** Retry-After and waits are never estimated below this. */
+/** Weight of the newest sample in the moving average. */
+const smoothingFactor = 0.1;
+/** Lower bound for estimated waits and Retry-After values. */
 const minimumEstimate: Milliseconds = 1;
 
-/** How fast an upstream frees its slots, measured from the time its answers take. */
+/** Estimates how fast an upstream frees its slots, from the measured duration of its responses. */
 export class DrainRate {
   #serviceTime = initialServiceTime;
   #samples = 0;
 
-  /** Mean time an attempt holds its slot. */
+  /** Moving average of the time that an attempt occupies its slot. */
   get serviceTime(): Milliseconds {
     return this.#serviceTime;
   }
 
-  /** Takes in the time one attempt held its slot. */
+  /** Adds the time that one attempt occupied its slot. */
   recordServiceTime(duration: Milliseconds): void {
     this.#samples += 1;
-    const share = Math.max(newestShare, 1 / this.#samples);
-    this.#serviceTime += share * (duration - this.#serviceTime);
+    const weight = Math.max(smoothingFactor, 1 / this.#samples);
+    this.#serviceTime += weight * (duration - this.#serviceTime);
   }
 
-  /** Time until `count` slots have been freed of `capacity` busy ones. */
+  /** Estimated time until `count` slots have been freed when all `capacity` slots are busy. */
   estimateWait(count: number, capacity: number): Milliseconds {
     return Math.max(minimumEstimate, (count * this.#serviceTime) / Math.max(1, capacity));
   }
--- a/src/sidecar/attempts/fair-queue.ts
+++ b/src/sidecar/attempts/fair-queue.ts
@@ -4,34 +4,37 @@
 import type { AttemptKey } from './messages.js';
 
 /** An attempt in the queue. */
-export interface Waiting {
+export interface QueuedAttempt {
   readonly request: AdmissionRequest;
-  /** When it has waited as long as it may. */
+  /** When its maximum waiting time is over. */
   readonly expiresAt: Milliseconds;
 }
 
-/** What one account waits for. */
+/** The queued attempts of one account. */
 interface AccountQueue {
-  /** Virtual time at which its next attempt would start in a perfectly fair upstream. */
-  tag: number;
-  /** By priority, then as they came. */
-  waiting: Waiting[];
+  /** Virtual time at which the account's next attempt would start under ideal fair sharing. */
+  startTag: number;
+  /** Ordered by priority, then by arrival. */
+  waiting: QueuedAttempt[];
 }
 
-/** Urgency changes the share of an account by at most a factor of three, so that no priority starves another. */
-const urgencyBase = 1.25;
-const middlePriority = 5;
-/** Accounts without waiting attempts are forgotten beyond this number, where their tag says nothing any more. */
-const maximumAccounts = 256;
+/** Priority changes the share of an account by at most a factor of three, so that no priority starves another. */
+const priorityWeightBase = 1.25;
+const neutralPriority = 5;
+/**
+ * Above this number of accounts, those without queued attempts are removed if their start tag is behind the virtual
+ * time and so no longer has an effect.
+ */
+const maximumTrackedAccounts = 256;
 
 /**
- * Start-time fair queueing: the attempts of an account are spaced in virtual time by 1 / weight, and the account with the
- * lowest tag goes next. An account that sends ten times its share queues behind itself; a small account's attempt enters
- * near the head, however many gateways either of them uses.
+ * Start-time fair queueing: the attempts of an account are spaced in virtual time by 1 / weight, and the account with
+ * the lowest start tag goes next. An account that sends ten times its share only delays its own attempts; an attempt of
+ * a small account enters near the head. This holds regardless of how many gateways either account uses.
  *
- * A tag moves on when an attempt starts, not when it comes. With tags given out on arrival, an attempt that waited in
- * vain had used up its account's share: under overload the attempts of a patient account all expired, each pushing the
- * next one further back, and the account got nothing.
+ * A start tag advances when an attempt starts, not when it arrives. With tags assigned on arrival, an attempt that
+ * expired in the queue still used up its account's share: under overload, all attempts of a low-priority account
+ * expired, each pushing the next one further back, and the account was starved.
  */
 export class FairQueue {
   readonly #accounts = new Map<AccountName, AccountQueue>();
@@ -42,47 +45,47 @@
     return this.#length;
   }
 
-  /** How many attempts would start before this one if nothing else came. */
+  /** Number of attempts that would start before this one if no others arrived. */
   countAhead(request: AdmissionRequest): number {
     const own = this.#accounts.get(request.account);
-    const before = own === undefined ? 0 : findPlace(own.waiting, request);
-    const tag = this.#findTag(own) + before / findShare(request);
+    const before = own === undefined ? 0 : findInsertionIndex(own.waiting, request);
+    const tag = this.#findStartTag(own) + before / computeWeight(request);
     let ahead = before;
     for (const queue of this.#accounts.values()) {
       if (queue !== own) {
-        ahead += countUpTo(queue, tag);
+        ahead += countStartingBy(queue, tag);
       }
     }
     return ahead;
   }
 
   add(request: AdmissionRequest, expiresAt: Milliseconds): void {
-    const queue = this.#findQueue(request.account);
-    queue.waiting.splice(findPlace(queue.waiting, request), 0, { request, expiresAt });
+    const queue = this.#getOrCreateQueue(request.account);
+    queue.waiting.splice(findInsertionIndex(queue.waiting, request), 0, { request, expiresAt });
     this.#length += 1;
   }
 
-  /** An attempt starts without waiting: it counts against its account all the same. */
-  pass(request: AdmissionRequest): void {
-    this.#start(this.#findQueue(request.account), request);
+  /** Charges an attempt that starts without queueing to its account. */
+  recordImmediateStart(request: AdmissionRequest): void {
+    this.#advanceStartTag(this.#getOrCreateQueue(request.account), request);
   }
 
-  takeNext(): Waiting | undefined {
+  dequeue(): QueuedAttempt | undefined {
     let next: AccountQueue | undefined;
     for (const queue of this.#accounts.values()) {
-      if (queue.waiting.length > 0 && (next === undefined || queue.tag < next.tag)) {
+      if (queue.waiting.length > 0 && (next === undefined || queue.startTag < next.startTag)) {
         next = queue;
       }
     }
     const taken = next?.waiting.shift();
     if (next !== undefined && taken !== undefined) {
       this.#length -= 1;
-      this.#start(next, taken.request);
+      this.#advanceStartTag(next, taken.request);
     }
     return taken;
   }
 
-  remove(key: AttemptKey): Waiting | undefined {
+  remove(key: AttemptKey): QueuedAttempt | undefined {
     for (const { waiting } of this.#accounts.values()) {
       const index = waiting.findIndex(({ request }) => request.key === key);
       if (index >= 0) {
@@ -93,8 +96,8 @@
     return undefined;
   }
 
-  removeExpired(now: Milliseconds): readonly Waiting[] {
-    const expired: Waiting[] = [];
+  removeExpired(now: Milliseconds): readonly QueuedAttempt[] {
+    const expired: QueuedAttempt[] = [];
     for (const queue of this.#accounts.values()) {
       const kept = queue.waiting.filter((waiting) => now < waiting.expiresAt);
       if (kept.length < queue.waiting.length) {
@@ -106,62 +109,62 @@
     return expired;
   }
 
-  #start(queue: AccountQueue, request: AdmissionRequest): void {
-    this.#virtualTime = Math.max(this.#virtualTime, queue.tag);
-    queue.tag += 1 / findShare(request);
+  #advanceStartTag(queue: AccountQueue, request: AdmissionRequest): void {
+    this.#virtualTime = Math.max(this.#virtualTime, queue.startTag);
+    queue.startTag += 1 / computeWeight(request);
   }
 
-  #findTag(queue: AccountQueue | undefined): number {
-    return Math.max(this.#virtualTime, queue?.tag ?? 0);
+  #findStartTag(queue: AccountQueue | undefined): number {
+    return Math.max(this.#virtualTime, queue?.startTag ?? 0);
   }
 
-  /** The queue of an account; one that was idle has no claim to the time that has passed. */
-  #findQueue(account: AccountName): AccountQueue {
+  /** Finds or creates the queue of an account. An account that was idle gets no credit for the elapsed virtual time. */
+  #getOrCreateQueue(account: AccountName): AccountQueue {
     const known = this.#accounts.get(account);
     if (known !== undefined) {
       if (known.waiting.length === 0) {
-        known.tag = this.#findTag(known);
+        known.startTag = this.#findStartTag(known);
       }
       return known;
     }
-    const created: AccountQueue = { tag: this.#virtualTime, waiting: [] };
+    const created: AccountQueue = { startTag: this.#virtualTime, waiting: [] };
     this.#accounts.set(account, created);
-    if (this.#accounts.size > maximumAccounts) {
-      this.#forgetIdle();
+    if (this.#accounts.size > maximumTrackedAccounts) {
+      this.#removeIdleAccounts();
     }
     return created;
   }
 
-  #forgetIdle(): void {
+  #removeIdleAccounts(): void {
     for (const [account, queue] of this.#accounts) {
-      if (queue.waiting.length === 0 && queue.tag < this.#virtualTime) {
+      if (queue.waiting.length === 0 && queue.startTag < this.#virtualTime) {
         this.#accounts.delete(account);
       }
     }
   }
 }
 
-/** Index behind all that are at least as urgent. */
-function findPlace(waiting: readonly Waiting[], request: AdmissionRequest): number {
+/** Index after all attempts of the same or a more urgent priority. */
+function findInsertionIndex(waiting: readonly QueuedAttempt[], request: AdmissionRequest): number {
   const index = waiting.findIndex((other) => other.request.priority > request.priority);
   return index < 0 ? waiting.length : index;
 }
 
-/** How many attempts of a queue start no later than a virtual time. */
-function countUpTo(queue: AccountQueue, tag: number): number {
+/** Number of attempts in a queue that start no later than the given virtual time. */
+function countStartingBy(queue: AccountQueue, virtualTime: number): number {
   let count = 0;
-  let next = queue.tag;
+  let next = queue.startTag;
   for (const { request } of queue.waiting) {
-    if (next > tag) {
+    if (next > virtualTime) {
       break;
     }
     count += 1;
-    next += 1 / findShare(request);
+    next += 1 / computeWeight(request);
   }
   return count;
 }
 
-function findShare(request: AdmissionRequest): number {
-  const urgency = urgencyBase ** (middlePriority - request.priority);
-  return Math.max(1, request.weight) * urgency;
+function computeWeight(request: AdmissionRequest): number {
+  const priorityWeight = priorityWeightBase ** (neutralPriority - request.priority);
+  return Math.max(1, request.weight) * priorityWeight;
 }
--- a/src/sidecar/attempts/group-admissions.ts
+++ b/src/sidecar/attempts/group-admissions.ts
@@ -1,7 +1,7 @@
 import type { GroupName, Load } from '../../model/index.js';
 import { AdmissionController, type AdmissionLimits } from './admission-controller.js';
 
-/** The admission of each group that this sidecar has led; made when a group is first asked for. */
+/** Admission controllers of the groups that this sidecar has led, created on first use. */
 export class GroupAdmissions {
   readonly #limits: AdmissionLimits;
   readonly #byGroup = new Map<GroupName, AdmissionController>();
@@ -10,7 +10,7 @@
     this.#limits = limits;
   }
 
-  of(group: GroupName): AdmissionController {
+  forGroup(group: GroupName): AdmissionController {
     const known = this.#byGroup.get(group);
     if (known !== undefined) {
       return known;
@@ -20,9 +20,9 @@
     return created;
   }
 
-  /** Load of the group's upstream, as told to gateways. */
+  /** Load of the group's upstream, as reported to gateways. */
   readLoad(group: GroupName): Load {
-    return this.of(group).load;
+    return this.forGroup(group).load;
   }
 
   [Symbol.iterator](): IterableIterator<[GroupName, AdmissionController]> {
--- a/src/sidecar/attempts/index.ts
+++ b/src/sidecar/attempts/index.ts
@@ -10,11 +10,15 @@
   AttemptEvent,
   AttemptKey,
   AttemptMessage,
-  GroupFacts,
+  GroupSnapshot,
   HeaderField,
   SubscriberId,
   UpstreamRequest,
 } from './messages.js';
 export { defaultAttemptLimits, type AttemptLimits } from './limits.js';
 export { createRequestId, readRequestTime } from './request-identifier.js';
-export { HttpUpstreamCaller, type UpstreamAnswer, type UpstreamCaller } from './upstream-caller.js';
+export {
+  HttpUpstreamCaller,
+  type UpstreamResponse,
+  type UpstreamClient,
+} from './upstream-client.js';
--- a/src/sidecar/attempts/limits.ts
+++ b/src/sidecar/attempts/limits.ts
@@ -2,19 +2,19 @@
 import { defaultAdmissionLimits, type AdmissionLimits } from './admission-controller.js';
 import { defaultRegistryLimits, type RegistryLimits } from './attempt-registry.js';
 
-/** Times and bounds of the attempts at one sidecar. */
+/** Time and memory limits for the attempts of one sidecar. */
 export interface AttemptLimits {
   readonly admission: AdmissionLimits;
   readonly registry: RegistryLimits;
-  /** Bytes of a running answer kept for taking it up again. */
+  /** Maximum number of response bytes buffered per attempt so that a gateway can resume the stream. */
   readonly resumeBytes: number;
-  /** Silence after which a keep-alive is sent. */
+  /** Idle time on a stream after which a keep-alive is sent. */
   readonly keepAliveInterval: Milliseconds;
-  /** How long an attempt goes on when nobody listens to it any more. */
+  /** How long an attempt continues without a subscriber before it is cancelled. */
   readonly detachedGrace: Milliseconds;
 }
 
-/** Keep-alives four times a second let a gateway notice silence within a second. */
+/** Four keep-alives per second let a gateway detect a silent connection within one second. */
 export const defaultAttemptLimits: AttemptLimits = {
   admission: defaultAdmissionLimits,
   registry: defaultRegistryLimits,
--- a/src/sidecar/attempts/message-outlet.ts
+++ b/src/sidecar/attempts/message-outlet.ts
@@ -2,12 +2,12 @@
 import type { AttemptMessage } from './messages.js';
 import { encodeMessage } from './wire.js';
 
-/** Chunks of data are joined up to this size: below the size from which messages are compressed. */
-const largestJoined = 8 * 1024;
+/** Maximum size of joined data chunks; below the size from which messages are compressed. */
+const maximumJoinedBytes = 8 * 1024;
 
 type DataMessage = Extract<AttemptMessage, { readonly type: 'data' }>;
 
-/** Adjacent chunks that wait together, so that they leave in one frame. */
+/** Adjacent queued chunks that are sent in one frame. */
 interface JoinedData {
   readonly type: 'joined';
   readonly offset: number;
@@ -15,56 +15,56 @@
   size: number;
 }
 
-type Waiting = Exclude<AttemptMessage, DataMessage> | JoinedData;
+type QueuedMessage = Exclude<AttemptMessage, DataMessage> | JoinedData;
 
 /**
- * Messages on their way to one connection: pushed by decisions, pulled by the connection at its own pace.
- * What piles up while the connection is busy leaves in fewer, larger frames; nothing is ever held back to fill one.
- * An iterator by hand rather than an async generator: it is passed for every token.
+ * Queue of outgoing messages for one connection, which reads them at its own pace.
+ * Data queued while the connection is busy is sent in fewer, larger frames. No message is delayed to fill a frame.
+ * Implemented as a plain iterator instead of an async generator, because it is invoked for every token.
  */
 export class MessageOutlet implements AsyncIterableIterator<RunResponse> {
-  readonly #waiting: Waiting[] = [];
+  readonly #queue: QueuedMessage[] = [];
   #isClosed = false;
-  #pull: ((result: IteratorResult<RunResponse, undefined>) => void) | undefined;
-  #drained: (() => void)[] = [];
+  #resolvePendingRead: ((result: IteratorResult<RunResponse, undefined>) => void) | undefined;
+  #drainWaiters: (() => void)[] = [];
 
-  /** Messages that the connection has not taken yet. */
+  /** Number of messages that the connection has not read yet. */
   get length(): number {
-    return this.#waiting.length;
+    return this.#queue.length;
   }
 
   push(message: AttemptMessage): void {
     if (this.#isClosed) {
       return;
     }
-    const pull = this.#pull;
-    if (pull === undefined) {
+    const resolve = this.#resolvePendingRead;
+    if (resolve === undefined) {
       this.#enqueue(message);
       return;
     }
-    this.#pull = undefined;
-    pull({ done: false, value: encodeMessage(message) });
+    this.#resolvePendingRead = undefined;
+    resolve({ done: false, value: encodeMessage(message) });
   }
 
-  /** Ends the iteration once all messages are taken. */
+  /** Ends the iteration once all queued messages have been read. */
   close(): void {
     this.#isClosed = true;
-    this.#pull?.({ done: true, value: undefined });
-    this.#pull = undefined;
-    this.#release();
+    this.#resolvePendingRead?.({ done: true, value: undefined });
+    this.#resolvePendingRead = undefined;
+    this.#notifyDrainWaiters();
   }
 
-  /** Ends the iteration now; what was not taken is dropped. */
+  /** Ends the iteration immediately and drops all queued messages. */
   abandon(): void {
-    this.#waiting.length = 0;
+    this.#queue.length = 0;
     this.close();
   }
 
-  /** Resolves once no more than `maximum` messages are left, or the outlet is closed. */
+  /** Resolves once no more than `maximum` messages are queued, or the stream is closed. */
   async waitUntilBelow(maximum: number): Promise<void> {
-    while (this.#waiting.length > maximum && !this.#isClosed) {
+    while (this.#queue.length > maximum && !this.#isClosed) {
       await new Promise<void>((resolve) => {
-        this.#drained.push(resolve);
+        this.#drainWaiters.push(resolve);
       });
     }
   }
@@ -74,16 +74,16 @@
   }
 
   next(): Promise<IteratorResult<RunResponse, undefined>> {
-    const message = this.#waiting.shift();
+    const message = this.#queue.shift();
     if (message !== undefined) {
-      this.#release();
+      this.#notifyDrainWaiters();
       return Promise.resolve({ done: false, value: encodeMessage(toMessage(message)) });
     }
     if (this.#isClosed) {
       return Promise.resolve({ done: true, value: undefined });
     }
     return new Promise((resolve) => {
-      this.#pull = resolve;
+      this.#resolvePendingRead = resolve;
     });
   }
 
@@ -94,38 +94,38 @@
 
   #enqueue(message: AttemptMessage): void {
     if (message.type !== 'data') {
-      this.#waiting.push(message);
+      this.#queue.push(message);
       return;
     }
     const { offset, bytes } = message;
-    const last = this.#waiting.at(-1);
+    const last = this.#queue.at(-1);
     const isAdjacent = last?.type === 'joined' && last.offset + last.size === offset;
-    if (isAdjacent && last.size + bytes.length <= largestJoined) {
+    if (isAdjacent && last.size + bytes.length <= maximumJoinedBytes) {
       last.chunks.push(bytes);
       last.size += bytes.length;
       return;
     }
-    this.#waiting.push({ type: 'joined', offset, chunks: [bytes], size: bytes.length });
+    this.#queue.push({ type: 'joined', offset, chunks: [bytes], size: bytes.length });
   }
 
-  #release(): void {
-    const waiting = this.#drained;
-    if (waiting.length === 0) {
+  #notifyDrainWaiters(): void {
+    const waiters = this.#drainWaiters;
+    if (waiters.length === 0) {
       return;
     }
-    this.#drained = [];
-    for (const resolve of waiting) {
+    this.#drainWaiters = [];
+    for (const resolve of waiters) {
       resolve();
     }
   }
 }
 
-function toMessage(waiting: Waiting): AttemptMessage {
-  if (waiting.type !== 'joined') {
-    return waiting;
+function toMessage(queued: QueuedMessage): AttemptMessage {
+  if (queued.type !== 'joined') {
+    return queued;
   }
-  const [first] = waiting.chunks;
-  const isSingle = waiting.chunks.length === 1 && first !== undefined;
-  const bytes = isSingle ? first : Buffer.concat(waiting.chunks);
-  return { type: 'data', offset: waiting.offset, bytes };
+  const [first] = queued.chunks;
+  const isSingle = queued.chunks.length === 1 && first !== undefined;
+  const bytes = isSingle ? first : Buffer.concat(queued.chunks);
+  return { type: 'data', offset: queued.offset, bytes };
 }
--- a/src/sidecar/attempts/messages.ts
+++ b/src/sidecar/attempts/messages.ts
@@ -10,22 +10,22 @@
   Revision,
 } from '../../model/index.js';
 
-/** A header field of a request or an answer. */
+/** A header field of a request or a response. */
 export interface HeaderField {
   readonly name: string;
   readonly value: string;
 }
 
-/** What a sidecar tells a gateway of one attempt; the order on the wire is the order in which they arose. */
+/** Messages about one attempt from a sidecar to a gateway, sent in the order in which they were created. */
 export type AttemptMessage =
-  /** The attempt was handed to the upstream: from here on it may have run. */
+  /** The attempt was passed to the upstream; from now on it may have run. */
   | { readonly type: 'accepted'; readonly load: Load }
-  /** A definite "not run"; never follows `accepted`. */
+  /** The attempt was definitely not run. Never follows `accepted`. */
   | { readonly type: 'refused'; readonly refusal: AttemptRefusal }
   | { readonly type: 'head'; readonly status: number; readonly headers: readonly HeaderField[] }
   | { readonly type: 'data'; readonly offset: number; readonly bytes: Uint8Array }
   | { readonly type: 'keepAlive'; readonly load: Load }
-  /** `ok` for a whole answer; without this message an answer is never whole. */
+  /** The code is `ok` for a complete response. Without this message a response is never complete. */
   | {
       readonly type: 'ended';
       readonly totalBytes: number;
@@ -33,7 +33,7 @@
       readonly retryAfter: Milliseconds;
     };
 
-/** The caller's request as the upstream gets it. */
+/** The client's request as it is sent to the upstream. */
 export interface UpstreamRequest {
   readonly method: string;
   readonly path: string;
@@ -43,23 +43,23 @@
   readonly affinityKey: string;
 }
 
-/** What the sidecar knows of a group at the moment of an event. */
-export interface GroupFacts {
+/** State of a group at the time of an event. */
+export interface GroupSnapshot {
   readonly fencingNumber: FencingNumber;
-  /** Every lease is held now. */
+  /** Whether the leases of all group members are held at the time of the event. */
   readonly isWhole: boolean;
   readonly isDraining: boolean;
-  /** Attempts that the upstream takes at a time. */
+  /** Maximum number of concurrent attempts at the upstream. */
   readonly concurrency: number;
 }
 
-/** One connection's interest in the messages of an attempt; a number of the shell's own. */
+/** Identifies a connection that receives the messages of an attempt; assigned by `AttemptService`. */
 export type SubscriberId = number;
 
-/** Key of an attempt, as `formatAttemptName` gives it. */
+/** Key of an attempt, as returned by `formatAttemptName`. */
 export type AttemptKey = string;
 
-/** What happens to the attempts of a sidecar; `now` is a monotonic reading. */
+/** Input events of the attempt controller; `now` is monotonic time. */
 export type AttemptEvent =
   | {
       readonly type: 'arrived';
@@ -67,8 +67,8 @@
       readonly wallNow: WallTime;
       readonly subscriber: SubscriberId;
       readonly order: AttemptOrder;
-      /** Undefined when this sidecar leads no such group. */
-      readonly group: GroupFacts | undefined;
+      /** Undefined if this sidecar does not lead the group. */
+      readonly group: GroupSnapshot | undefined;
       /** Highest configuration revision that this sidecar has seen. */
       readonly revision: Revision;
     }
@@ -76,7 +76,7 @@
       readonly type: 'confirmed';
       readonly now: Milliseconds;
       readonly key: AttemptKey;
-      /** `ok` when the group is whole; otherwise why the attempt may not run. */
+      /** `ok` when the leases of all group members are held; otherwise why the attempt may not run. */
       readonly code: ResultCodeName;
     }
   | {
@@ -96,7 +96,7 @@
       readonly type: 'upstreamEnded';
       readonly now: Milliseconds;
       readonly key: AttemptKey;
-      /** `ok` when the upstream's own end was seen; `upstreamUnreachable` when nothing was sent. */
+      /** `ok` when the end of the response was received; `upstreamUnreachable` when nothing was sent. */
       readonly code: ResultCodeName;
     }
   | {
@@ -121,7 +121,7 @@
   | { readonly type: 'tick'; readonly now: Milliseconds }
   | { readonly type: 'drainStarted'; readonly now: Milliseconds };
 
-/** What the shell does for the attempts of a sidecar. */
+/** Effects decided by the attempt controller and carried out by `AttemptService`. */
 export type AttemptEffect =
   | {
       readonly type: 'send';
@@ -129,7 +129,7 @@
       readonly message: AttemptMessage;
     }
   | { readonly type: 'closeSubscriber'; readonly subscriber: SubscriberId }
-  /** Asks the members of the group once more right before the upstream gets the attempt. */
+  /** Rechecks the leases with the group members immediately before the attempt is passed to the upstream. */
   | {
       readonly type: 'confirm';
       readonly key: AttemptKey;
@@ -138,6 +138,6 @@
     }
   | { readonly type: 'startUpstream'; readonly key: AttemptKey }
   | { readonly type: 'cancelUpstream'; readonly key: AttemptKey }
-  /** The attempt never goes to the upstream: its body can be dropped. */
+  /** The attempt will not be passed to the upstream, so its request can be dropped. */
   | { readonly type: 'dropRequest'; readonly key: AttemptKey }
   | { readonly type: 'answerAsk'; readonly question: number; readonly state: AttemptState };
--- a/src/sidecar/attempts/resume-buffer.ts
+++ b/src/sidecar/attempts/resume-buffer.ts
@@ -1,6 +1,6 @@
 /**
- * The last bytes of one answer, so that a gateway whose connection went silent can go on from its offset.
- * Bounded: the oldest bytes go first, and `firstOffset` says where what is left begins.
+ * Buffers the last bytes of one response, so that a gateway whose connection went silent can resume at its offset.
+ * The size is limited: the oldest bytes are dropped first, and `firstOffset` is the start of the bytes that remain.
  */
 export class ResumeBuffer {
   readonly #maximumBytes: number;
@@ -12,22 +12,22 @@
     this.#maximumBytes = maximumBytes;
   }
 
-  /** Offset of the oldest byte still held. */
+  /** Offset of the oldest buffered byte. */
   get firstOffset(): number {
     return this.#firstOffset;
   }
 
-  /** Offset of the byte that comes next. */
+  /** Offset of the next byte to be appended. */
   get nextOffset(): number {
     return this.#nextOffset;
   }
 
-  /** Bytes held. */
+  /** Number of buffered bytes. */
   get size(): number {
     return this.#nextOffset - this.#firstOffset;
   }
 
-  /** Adds the next bytes and returns their offset. */
+  /** Appends bytes and returns their offset. */
   append(bytes: Uint8Array): number {
     const offset = this.#nextOffset;
     this.#chunks.push(bytes);
@@ -36,7 +36,7 @@
     return offset;
   }
 
-  /** The bytes from an offset on; undefined when they are gone or have not come yet. */
+  /** Returns the bytes from an offset on; undefined if they were dropped or have not been received yet. */
   readFrom(offset: number): readonly Uint8Array[] | undefined {
     if (offset < this.#firstOffset || offset > this.#nextOffset) {
       return undefined;
@@ -53,7 +53,7 @@
     return found;
   }
 
-  /** Lets go of all bytes; offsets stay. */
+  /** Drops all bytes; the next offset stays the same. */
   clear(): void {
     this.#chunks = [];
     this.#firstOffset = this.#nextOffset;
--- a/src/sidecar/attempts/step-table.ts
+++ b/src/sidecar/attempts/step-table.ts
@@ -1,23 +1,23 @@
 /**
- * Outcomes of the steps of a machine without context, each computed once by xstate's pure transition function.
- * Such a machine gives the same next stage for the same stage and step for ever; asking it again costs some 12
- * microseconds, eight times a request.
+ * Caches the transitions of a state machine without context, each computed once by xstate's pure transition function.
+ * For such a machine, the next stage depends only on the stage and the event. Computing a transition again costs about
+ * 12 microseconds, eight times per request.
  */
-export class StepTable<Stage extends string, Step extends string> {
-  readonly #compute: (stage: Stage, step: Step) => Stage;
-  readonly #known = new Map<Stage, Map<Step, Stage>>();
+export class StepTable<Stage extends string, Event extends string> {
+  readonly #compute: (stage: Stage, event: Event) => Stage;
+  readonly #transitions = new Map<Stage, Map<Event, Stage>>();
 
-  /** `compute` asks the machine. */
-  constructor(compute: (stage: Stage, step: Step) => Stage) {
+  /** `compute` evaluates the state machine. */
+  constructor(compute: (stage: Stage, event: Event) => Stage) {
     this.#compute = compute;
   }
 
-  /** The stage after a step; the same stage where the step is not allowed. */
-  find(stage: Stage, step: Step): Stage {
-    const steps = this.#known.get(stage) ?? new Map<Step, Stage>();
-    this.#known.set(stage, steps);
-    const next = steps.get(step) ?? this.#compute(stage, step);
-    steps.set(step, next);
+  /** Returns the stage after an event; the same stage if the event is not allowed. */
+  find(stage: Stage, event: Event): Stage {
+    const transitions = this.#transitions.get(stage) ?? new Map<Event, Stage>();
+    this.#transitions.set(stage, transitions);
+    const next = transitions.get(event) ?? this.#compute(stage, event);
+    transitions.set(event, next);
     return next;
   }
 }
--- a/src/sidecar/attempts/upstream-caller.ts
+++ b/src/sidecar/attempts/upstream-client.ts
@@ -3,41 +3,44 @@
 import { createFailure, FailureError, type Milliseconds } from '../../common/index.js';
 import type { HeaderField, UpstreamRequest } from './messages.js';
 
-/** An answer of the upstream as it comes. */
-export interface UpstreamAnswer {
+/** A streamed response of the upstream. */
+export interface UpstreamResponse {
   readonly status: number;
   readonly headers: readonly HeaderField[];
-  /** Throws when the connection breaks before the end of the answer. */
+  /** Throws when the connection breaks before the end of the response. */
   readonly chunks: AsyncIterable<Uint8Array>;
-  /** Whether the answer says where it ends; without that a broken connection looks like an end. */
+  /**
+   * Whether the end of the response can be recognized: it has no body, a content length or a transfer encoding.
+   * Otherwise a broken connection looks like a complete response.
+   */
   readonly isFramed: boolean;
 }
 
-/** Hands requests to the upstream beside the sidecar. */
-export interface UpstreamCaller {
+/** Sends requests to the sidecar's local upstream. */
+export interface UpstreamClient {
   /**
-   * Resolves when the head of the answer is there.
+   * Resolves when the response head has been received.
    * Rejects with a `FailureError`: `upstreamUnreachable` when nothing was sent, `upstreamFailed` otherwise.
    */
-  readonly start: (request: UpstreamRequest, signal: AbortSignal) => Promise<UpstreamAnswer>;
+  readonly start: (request: UpstreamRequest, signal: AbortSignal) => Promise<UpstreamResponse>;
 }
 
 const connectTimeout: Milliseconds = 1000;
 
-/** Codes of errors that come before anything was sent. */
-const notSentCodes: ReadonlySet<string> = new Set([
+/** Codes of errors that occur before any byte of the request is sent. */
+const unsentErrorCodes: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Calls an upstream over HTTP by undici; never sends a request twice. */
-export class HttpUpstreamCaller implements UpstreamCaller {
+/** Sends requests to an upstream over HTTP with undici, without retries. */
+export class HttpUpstreamCaller implements UpstreamClient {
   readonly #agent: Agent;
   readonly #readBaseUrl: () => string | undefined;
 
-  /** `readBaseUrl` answers undefined while no upstream has announced itself. */
+  /** `readBaseUrl` returns undefined while no upstream has announced itself. */
   constructor(readBaseUrl: () => string | undefined) {
     this.#readBaseUrl = readBaseUrl;
     this.#agent = new Agent({
@@ -48,13 +51,15 @@
     });
   }
 
-  async start(request: UpstreamRequest, signal: AbortSignal): Promise<UpstreamAnswer> {
+  async start(request: UpstreamRequest, signal: AbortSignal): Promise<UpstreamResponse> {
     const baseUrl = this.#readBaseUrl();
     if (baseUrl === undefined) {
-      throw new FailureError(createFailure('upstreamUnreachable', 'none has announced itself'));
+      throw new FailureError(
+        createFailure('upstreamUnreachable', 'no upstream has announced itself'),
+      );
     }
     try {
-      const answer = await sendRequest(new URL(request.path, baseUrl), {
+      const response = await sendRequest(new URL(request.path, baseUrl), {
         dispatcher: this.#agent,
         method: request.method,
         headers: flattenHeaders(request.headers),
@@ -62,13 +67,13 @@
         signal,
       });
       return {
-        status: answer.statusCode,
-        headers: listHeaders(answer.headers),
-        chunks: answer.body,
-        isFramed: isFramed(request.method, answer.statusCode, answer.headers),
+        status: response.statusCode,
+        headers: listHeaders(response.headers),
+        chunks: response.body,
+        isFramed: isFramed(request.method, response.statusCode, response.headers),
       };
     } catch (error) {
-      throw new FailureError(createFailure(classify(error), describeError(error)));
+      throw new FailureError(createFailure(classifyError(error), describeError(error)));
     }
   }
 
@@ -86,10 +91,10 @@
   return hasNoBody || 'content-length' in headers || 'transfer-encoding' in headers;
 }
 
-function classify(error: unknown): 'upstreamUnreachable' | 'upstreamFailed' {
+function classifyError(error: unknown): 'upstreamUnreachable' | 'upstreamFailed' {
   const code = error instanceof Error && 'code' in error ? String(error.code) : '';
-  const isNotSent = notSentCodes.has(code) || error instanceof errors.ConnectTimeoutError;
-  return isNotSent ? 'upstreamUnreachable' : 'upstreamFailed';
+  const isUnsent = unsentErrorCodes.has(code) || error instanceof errors.ConnectTimeoutError;
+  return isUnsent ? 'upstreamUnreachable' : 'upstreamFailed';
 }
 
 function describeError(error: unknown): string {
--- a/src/sidecar/attempts/upstream-relay.ts
+++ b/src/sidecar/attempts/upstream-relay.ts
@@ -7,47 +7,47 @@
   type ResultCodeName,
 } from '../../common/index.js';
 import type { AttemptEvent, AttemptKey, UpstreamRequest } from './messages.js';
-import type { UpstreamCaller } from './upstream-caller.js';
+import type { UpstreamClient } from './upstream-client.js';
 
-/** What the relay needs of the service around it. */
+/** Dependencies of the relay. */
 export interface UpstreamRelayOptions {
-  readonly upstream: UpstreamCaller;
+  readonly upstream: UpstreamClient;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Takes what the upstream answers. */
+  /** Receives the events of upstream responses. */
   readonly handle: (event: AttemptEvent) => void;
-  /** Undefined while the answer can be read on; otherwise resolves when it can. */
-  readonly findWait: (key: AttemptKey) => Promise<void> | undefined;
+  /** Returns undefined if reading can continue; otherwise a promise that resolves once it can. */
+  readonly waitForCapacity: (key: AttemptKey) => Promise<void> | undefined;
 }
 
-/** Hands attempts to the upstream, each once, and turns the answers into events. */
+/** Sends each attempt to the upstream once, without retries, and converts the response into events. */
 export class UpstreamRelay {
   readonly #options: UpstreamRelayOptions;
-  readonly #cancellations = new Map<AttemptKey, AbortController>();
+  readonly #abortControllers = new Map<AttemptKey, AbortController>();
 
   constructor(options: UpstreamRelayOptions) {
     this.#options = options;
   }
 
-  /** Resolves when the attempt's answer is over, whole or not. */
+  /** Resolves when the response has ended, complete or not. */
   async run(key: AttemptKey, request: UpstreamRequest): Promise<void> {
     this.#options.logger.debug({ attempt: key }, 'handed to the upstream');
-    const cancellation = new AbortController();
-    this.#cancellations.set(key, cancellation);
-    const code = await this.#read(key, request, cancellation.signal);
-    this.#cancellations.delete(key);
+    const abortController = new AbortController();
+    this.#abortControllers.set(key, abortController);
+    const code = await this.#read(key, request, abortController.signal);
+    this.#abortControllers.delete(key);
     this.#options.handle({ type: 'upstreamEnded', now: this.#now(), key, code });
   }
 
-  /** Ends the upstream's work for the attempt; best effort. */
+  /** Aborts the upstream request of the attempt; best effort. */
   cancel(key: AttemptKey): void {
-    this.#cancellations.get(key)?.abort();
+    this.#abortControllers.get(key)?.abort();
   }
 
-  /** Ends the upstream's work for every attempt. */
+  /** Aborts all upstream requests. */
   close(): void {
-    for (const cancellation of this.#cancellations.values()) {
-      cancellation.abort();
+    for (const abortController of this.#abortControllers.values()) {
+      abortController.abort();
     }
   }
 
@@ -56,23 +56,23 @@
     request: UpstreamRequest,
     signal: AbortSignal,
   ): Promise<ResultCodeName> {
-    const { upstream, handle, findWait, logger } = this.#options;
+    const { upstream, handle, waitForCapacity: findWait, logger } = this.#options;
     let hasHead = false;
     try {
-      const answer = await upstream.start(request, signal);
+      const response = await upstream.start(request, signal);
       hasHead = true;
-      const { status, headers } = answer;
+      const { status, headers } = response;
       handle({ type: 'upstreamHead', now: this.#now(), key, status, headers });
-      for await (const bytes of answer.chunks) {
+      for await (const bytes of response.chunks) {
         handle({ type: 'upstreamData', now: this.#now(), key, bytes });
         const wait = findWait(key);
         if (wait !== undefined) {
           await wait;
         }
       }
-      return answer.isFramed ? 'ok' : 'answerBroken';
+      return response.isFramed ? 'ok' : 'answerBroken';
     } catch (error) {
-      logger.warn({ err: error, attempt: key }, 'upstream broke off');
+      logger.warn({ err: error, attempt: key }, 'upstream request failed');
       if (hasHead) {
         return 'answerBroken';
       }
--- a/src/sidecar/attempts/wire.ts
+++ b/src/sidecar/attempts/wire.ts
@@ -16,9 +16,9 @@
 import type { AttemptName, AttemptOrder, AttemptState, Load } from '../../model/index.js';
 import type { AttemptMessage, UpstreamRequest } from './messages.js';
 
-/** Between the messages of AttemptService and our own types, for both of its ends. */
+/** Conversions between the protobuf messages of AttemptService and the model types, for both client and server. */
 
-/** The order and the request of a Run call, to send. */
+/** Encodes the attempt order and the upstream request for a Run call. */
 export function encodeRun(order: AttemptOrder, request: UpstreamRequest): RunRequest {
   return create(RunRequestSchema, {
     name: encodeAttemptName(order.name),
@@ -38,7 +38,7 @@
   });
 }
 
-/** The order of a received Run call. */
+/** Decodes the attempt order of a Run call. */
 export function decodeOrder(request: RunRequest): AttemptOrder {
   return {
     name: decodeAttemptName(request.name),
@@ -53,7 +53,7 @@
   };
 }
 
-/** What the upstream gets of a received Run call. */
+/** Decodes the upstream request of a Run call. */
 export function decodeUpstreamRequest(request: RunRequest): UpstreamRequest {
   const { method, path, headers, body, affinityKey } = request;
   return { method, path, headers, body, affinityKey };
@@ -71,12 +71,11 @@
   };
 }
 
-/** One message of an attempt, to send. */
 export function encodeMessage(message: AttemptMessage): RunResponse {
   return create(RunResponseSchema, { event: encodeEvent(message) });
 }
 
-/** One received message of an attempt; undefined for one that this version does not know. */
+/** Decodes a message of an attempt; undefined for a type unknown to this version. */
 export function decodeMessage(response: RunResponse): AttemptMessage | undefined {
   const { event } = response;
   switch (event.case) {
@@ -109,7 +108,7 @@
   }
 }
 
-/** The state of an attempt, to answer a gateway that asks. */
+/** Encodes the state of an attempt as the response to a gateway's Ask call. */
 export function encodeAttemptState(state: AttemptState): AskResponse {
   switch (state.type) {
     case 'neverSeen':
@@ -137,7 +136,7 @@
   }
 }
 
-/** A received answer to a question; undefined for one that this version does not know. */
+/** Decodes the response to an Ask call; undefined for a state unknown to this version. */
 export function decodeAttemptState(response: AskResponse): AttemptState | undefined {
   const offsets = {
     firstOffset: Number(response.firstOffset),
