--- a/__tests__/lease/history.test.ts
+++ b/__tests__/lease/history.test.ts
@@ -2,17 +2,17 @@
 import { describe, expect, it } from 'vitest';
 
 import { LeaseLead, LeaseMember } from '../../src/lease/index.js';
-import { LeaseWorld } from './world.js';
-import { realClasses, type LeaseClasses, type Step } from './world-steps.js';
+import { LeaseSimulation } from './simulation.js';
+import { realClasses, type LeaseClasses, type Step } from './simulation-steps.js';
 
-/** Random histories of loss, doubling, reordering, freezes, restarts and drifting clocks. */
+/** Random histories with message loss, duplication and reordering, freezes, restarts and clock drift. */
 
 const runs = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? 10_000);
 const seed = 20_261_202;
-/** Generous: the time limit only ends a run that hangs. */
+/** Generous, because it only has to end runs that hang. */
 const timeout = 120_000 + 10 * runs;
 const hostCount = 4;
-/** Fastest against slowest: just within the stated bound of 2 parts in 100. */
+/** Fastest relative to slowest, just within the drift bound of 2 %. */
 const fastestRate = 1.0099;
 const slowestRate = 0.9901;
 
@@ -27,7 +27,7 @@
   return host.map((index) => ({ type, host: index }));
 }
 
-function onMessage(type: 'deliver' | 'double' | 'lose'): fc.Arbitrary<Step> {
+function onMessage(type: 'deliver' | 'duplicate' | 'drop'): fc.Arbitrary<Step> {
   return index.map((position) => ({ type, index: position }));
 }
 
@@ -36,7 +36,7 @@
     8,
     fc.integer({ min: 1, max: 400 }).map((milliseconds): Step => ({ type: 'pass', milliseconds })),
   ),
-  // About one lease: where the counts of lead and member part.
+  // About one lease, where the expiry times of lead and member differ.
   weigh(
     1,
     fc
@@ -45,22 +45,22 @@
   ),
   weigh(8, fc.constant<Step>({ type: 'deliverAll' })),
   weigh(8, onMessage('deliver')),
-  weigh(2, onMessage('double')),
-  weigh(2, onMessage('lose')),
+  weigh(2, onMessage('duplicate')),
+  weigh(2, onMessage('drop')),
   weigh(
     3,
     fc
       .array(host, { minLength: 2, maxLength: 3 })
       .map((members): Step => ({ type: 'place', members })),
   ),
-  weigh(6, onHost('learn')),
+  weigh(6, onHost('updatePlacements')),
   weigh(2, onHost('restart')),
   weigh(2, onHost('freeze')),
   weigh(2, onHost('thaw')),
-  weigh(1, onHost('sicken')),
-  weigh(1, onHost('cure')),
+  weigh(1, onHost('fail')),
+  weigh(1, onHost('recover')),
   weigh(1, onHost('drain')),
-  weigh(1, onHost('cut')),
+  weigh(1, onHost('disconnect')),
 );
 
 const rates = fc.array(fc.constantFrom(slowestRate, 1, fastestRate), {
@@ -70,26 +70,26 @@
 const history = fc.array(step, { minLength: 10, maxLength: 70, size: 'max' });
 
 function runHistory(classes: LeaseClasses, clockRates: readonly number[], steps: readonly Step[]) {
-  const world = new LeaseWorld(clockRates, classes);
+  const simulation = new LeaseSimulation(clockRates, classes);
   for (const each of startUp) {
-    world.step(each);
+    simulation.step(each);
   }
   for (const each of steps) {
-    world.step(each);
-    const fault = world.check();
+    simulation.step(each);
+    const fault = simulation.check();
     if (fault !== undefined) {
       throw new Error(fault);
     }
   }
-  return world;
+  return simulation;
 }
 
-/** Past the wait of the first start, with one group of two placed and known. */
+/** Passes the restart wait of the first start and places one group of two that its hosts know. */
 const startUp: readonly Step[] = [
   { type: 'pass', milliseconds: 1100 },
   { type: 'place', members: [0, 1] },
-  { type: 'learn', host: 0 },
-  { type: 'learn', host: 1 },
+  { type: 'updatePlacements', host: 0 },
+  { type: 'updatePlacements', host: 1 },
   { type: 'deliverAll' },
 ];
 
@@ -101,62 +101,63 @@
   return result.failed ? String(result.errorInstance) : null;
 }
 
-describe('histories of leases', () => {
+describe('lease histories', () => {
   it(
-    'never lets a group serve without all its members, nor a host serve in two, and heals',
+    'never lets a group serve without all its members or a host serve in two groups, and recovers after faults',
     { timeout },
     () => {
       const property = fc.property(rates, history, (clockRates, steps) => {
-        const world = runHistory(realClasses, clockRates, steps);
-        world.step({ type: 'place', members: [2, 3] });
-        world.heal();
-        expect(world.check()).toBeUndefined();
-        expect(world.listWhole()).toContain(world.newestFencingNumber);
+        const simulation = runHistory(realClasses, clockRates, steps);
+        simulation.step({ type: 'place', members: [2, 3] });
+        simulation.heal();
+        expect(simulation.check()).toBeUndefined();
+        expect(simulation.listWhole()).toContain(simulation.newestFencingNumber);
       });
       fc.assert(property, { seed, numRuns: runs });
     },
   );
 });
 
-/** Each rule taken out by itself: a history must show that it is missed. */
+/** Each mutant lacks one safety rule; some history must detect that. */
 describe('mutants of the lease rules', () => {
-  it('misses the wait after a restart', () => {
-    class Impatient extends LeaseMember {
+  it('detects a missing wait after a restart', () => {
+    class WithoutRestartWait extends LeaseMember {
       protected override restartWaitEnd(now: number): number {
         return now;
       }
     }
-    const createMember: LeaseClasses['createMember'] = (options) => new Impatient(options);
+    const createMember: LeaseClasses['createMember'] = (options) => new WithoutRestartWait(options);
     expect(findFault({ ...realClasses, createMember })).not.toBeNull();
   });
 
-  it('misses the wait for the lease of another group', () => {
-    class Promiscuous extends LeaseMember {
+  it('detects a missing wait for the lease of another group', () => {
+    class WithoutHeldCheck extends LeaseMember {
       protected override isHeldByOther(): boolean {
         return false;
       }
     }
-    const createMember: LeaseClasses['createMember'] = (options) => new Promiscuous(options);
+    const createMember: LeaseClasses['createMember'] = (options) => new WithoutHeldCheck(options);
     expect(findFault({ ...realClasses, createMember })).not.toBeNull();
   });
 
-  it('misses the counting from when the question left', () => {
-    class CountingFromAnswer extends LeaseLead {
+  it('detects leases that are not counted from the send time of the question', () => {
+    class CountingFromAnswerArrival extends LeaseLead {
       protected override leaseEnd(_sentAt: number, now: number, granted: number): number {
         return super.leaseEnd(now, now, granted);
       }
     }
-    const createLead: LeaseClasses['createLead'] = (options) => new CountingFromAnswer(options);
+    const createLead: LeaseClasses['createLead'] = (options) =>
+      new CountingFromAnswerArrival(options);
     expect(findFault({ ...realClasses, createLead })).not.toBeNull();
   });
 
-  it('misses the margin for drifting clocks', () => {
-    class TrustingClocks extends LeaseLead {
+  it('detects a missing margin for clock drift', () => {
+    class WithoutDriftMargin extends LeaseLead {
       protected override leaseEnd(sentAt: number, _now: number, granted: number): number {
         return sentAt + granted;
       }
     }
-    const createLead: LeaseClasses['createLead'] = (options) => new TrustingClocks(options);
+    const createLead: LeaseClasses['createLead'] = (options) => new WithoutDriftMargin(options);
     expect(findFault({ ...realClasses, createLead })).not.toBeNull();
   });
 });
--- a/__tests__/lease/lease.test.ts
+++ b/__tests__/lease/lease.test.ts
@@ -60,8 +60,8 @@
   return lead;
 }
 
-/** Carries the questions among the effects to their members at once, and the answers back. */
-function carry(
+/** Delivers the questions among the effects to their members and the answers back to the lead, without delay. */
+function exchange(
   lead: LeaseLead,
   effects: readonly LeaseLeadEffect[],
   members: readonly LeaseMember[],
@@ -84,7 +84,7 @@
     expect(ask(member, 2000)).toEqual({ type: 'granted', duration: 2000, isDraining: false });
   });
 
-  it('grants a newer placement only once the older lease has run out, and renews the older no more', () => {
+  it('grants a newer placement only once the older lease has expired, and no longer renews the older one', () => {
     const member = startMember('b');
     ask(member, 0);
     expect(ask(member, 10, { fencingNumber: 8 })).toMatchObject({ code: 'leaseHeldElsewhere' });
@@ -93,7 +93,7 @@
     expect(ask(member, 2000, { fencingNumber: 8 })).toMatchObject({ type: 'granted' });
   });
 
-  it('is free at once when the lead that holds it hands the lease back, and only that lead', () => {
+  it('is free at once when its lease is released, which only the lead that holds it can do', () => {
     const member = startMember('b');
     ask(member, 0);
     ask(member, 1, { isRelease: true, sequence: 2, leadIncarnation: 'a-0' });
@@ -104,7 +104,7 @@
     expect(ask(member, 6, { fencingNumber: 8 })).toMatchObject({ type: 'granted' });
   });
 
-  it('tells its lead at once when its engine fails', () => {
+  it('notifies its lead at once when its engine fails', () => {
     const member = startMember('b');
     ask(member, 0, { sequence: 5 });
     const [effect] = member.handle({ type: 'healthChanged', now: 10, isHealthy: false });
@@ -116,35 +116,35 @@
 });
 
 describe('lease lead', () => {
-  it('is whole from the last answer until the earliest lease, counted from its questions, ends', () => {
+  it('is whole from the last answer until the first lease, counted from its question, expires', () => {
     const members = [startMember('a'), startMember('b')];
     const lead = startLead();
     const asked = lead.handle({ type: 'started', now: 1000 });
     expect(lead.isWhole(1000)).toBe(false);
-    const effects = carry(lead, asked, members, 1300);
+    const effects = exchange(lead, asked, members, 1300);
     expect(effects.some((effect) => effect.type === 'healthChanged')).toBe(true);
     expect(lead.wholeUntil()).toBe(1000 + 2000 * 0.98);
     expect(lead.admission(1301)).toBe('ok');
     expect(lead.admission(2960)).toBe('notWhole');
   });
 
-  it('loses a lease at once by a refusal or a closed connection, whatever answers are still under way', () => {
+  it('loses a lease at once on a refusal or a closed connection, even if answers are still in flight', () => {
     const members = [startMember('a'), startMember('b')];
     const lead = startLead();
-    carry(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
+    exchange(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
     const late = lead.handle({ type: 'ticked', now: 500 });
     lead.handle({ type: 'connectionClosed', now: 510, member: 'b' });
-    carry(lead, late, members, 520);
+    exchange(lead, late, members, 520);
     expect(lead.isWhole(521)).toBe(false);
-    carry(lead, lead.handle({ type: 'ticked', now: 610 }), members, 611);
+    exchange(lead, lead.handle({ type: 'ticked', now: 610 }), members, 611);
     expect(lead.isWhole(612)).toBe(true);
   });
 
-  it('hands every lease back when the placement is dissolved', () => {
+  it('releases all leases when the placement is dissolved', () => {
     const members = [startMember('a'), startMember('b')];
     const lead = startLead();
-    carry(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
-    carry(lead, lead.handle({ type: 'dissolved', now: 10 }), members, 11);
+    exchange(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
+    exchange(lead, lead.handle({ type: 'dissolved', now: 10 }), members, 11);
     expect(members.map((member) => member.holder(12))).toEqual([undefined, undefined]);
     expect(lead.isWhole(12)).toBe(false);
   });
@@ -152,10 +152,10 @@
   it('drains when a member asks for it', () => {
     const members = [startMember('a'), startMember('b')];
     const lead = startLead();
-    carry(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
+    exchange(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
     const [notice] = members[1]?.handle({ type: 'drainRequested', now: 2 }) ?? [];
     if (notice === undefined) {
-      throw new Error('the member said nothing');
+      throw new Error('the member did not notify its lead');
     }
     const effects = lead.handle({ type: 'answered', now: 3, answer: notice.answer });
     expect(effects).toContainEqual({ type: 'drainNoted', member: 'b' });
@@ -164,11 +164,11 @@
   });
 
   it('is drained only once attempts were counted after the drain began', () => {
-    // Symptom: control dissolves a group with an attempt in flight. Sequence: an attempt is admitted, a drain begins before the next
-    // count. Cause: the count from before the drain was taken for the present one.
+    // Regression: control dissolved a group with an attempt in flight. The attempt was admitted and a drain began before
+    // the next count, and the count from before the drain was still used.
     const members = [startMember('a'), startMember('b')];
     const lead = startLead();
-    carry(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
+    exchange(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
     lead.handle({ type: 'attemptsChanged', now: 2, running: 0 });
     lead.handle({ type: 'drainRequested', now: 3 });
     expect(lead.health(3).isDrained).toBe(false);
@@ -178,15 +178,15 @@
     expect(lead.health(5).isDrained).toBe(true);
   });
 
-  it('confirms a batch of attempts by one round of questions, and fails it when a member is silent', () => {
+  it('confirms a batch of attempts with one round of questions, and fails it when a member does not answer', () => {
     const members = [startMember('a'), startMember('b')];
     const lead = startLead();
-    carry(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
+    exchange(lead, lead.handle({ type: 'started', now: 0 }), members, 1);
     lead.handle({ type: 'confirmRequested', now: 100, token: 'x' });
     lead.handle({ type: 'confirmRequested', now: 102, token: 'y' });
     const round = lead.handle({ type: 'ticked', now: 103 });
     expect(round.filter((effect) => effect.type === 'ask')).toHaveLength(2);
-    const settled = carry(lead, round, members, 104);
+    const settled = exchange(lead, round, members, 104);
     expect(settled).toContainEqual({ type: 'confirmed', token: 'x', isWhole: true });
     expect(settled).toContainEqual({ type: 'confirmed', token: 'y', isWhole: true });
     lead.handle({ type: 'confirmRequested', now: 110, token: 'z' });
--- a/__tests__/lease/world-steps.ts
+++ b/__tests__/lease/simulation-steps.ts
@@ -6,11 +6,11 @@
 } from '../../src/lease/index.js';
 import type { Group } from '../../src/model/index.js';
 
-/** Steps of a history of leases, and the classes that it drives. */
+/** Steps of a lease history, and the classes that it exercises. */
 
 export const duration = 1000;
 
-/** Makes the classes under test; mutants come in here. */
+/** Factories of the classes under test, replaced to test mutants. */
 export interface LeaseClasses {
   readonly createMember: (options: LeaseMemberOptions) => LeaseMember;
   readonly createLead: (options: LeaseLeadOptions) => LeaseLead;
@@ -24,15 +24,23 @@
 /** A step of a history. */
 export type Step =
   | { readonly type: 'pass'; readonly milliseconds: number }
-  | { readonly type: 'deliver' | 'double' | 'lose'; readonly index: number }
+  | { readonly type: 'deliver' | 'duplicate' | 'drop'; readonly index: number }
   | { readonly type: 'deliverAll' }
   | {
-      readonly type: 'restart' | 'freeze' | 'thaw' | 'learn' | 'sicken' | 'cure' | 'drain' | 'cut';
+      readonly type:
+        | 'restart'
+        | 'freeze'
+        | 'thaw'
+        | 'updatePlacements'
+        | 'fail'
+        | 'recover'
+        | 'drain'
+        | 'disconnect';
       readonly host: number;
     }
   | { readonly type: 'place'; readonly members: readonly number[] };
 
-/** A placement of the hosts with these numbers; the first leads. */
+/** Creates a placement of the hosts with these indices; the first is the lead. */
 export function createGroup(fencingNumber: number, members: readonly number[]): Group {
   return {
     name: `assist/${fencingNumber}`,
--- a/__tests__/lease/world.ts
+++ b/__tests__/lease/simulation.ts
@@ -6,9 +6,15 @@
   type LeaseQuestion,
 } from '../../src/lease/index.js';
 import { findLead, type Group } from '../../src/model/index.js';
-import { createGroup, duration, realClasses, type LeaseClasses, type Step } from './world-steps.js';
+import {
+  createGroup,
+  duration,
+  realClasses,
+  type LeaseClasses,
+  type Step,
+} from './simulation-steps.js';
 
-/** A few hosts with clocks of their own and a bag of messages between them: all that can go wrong is a step. */
+/** Simulates a few hosts with their own clocks and unordered messages between them; each possible fault is a step. */
 
 type Message =
   | { readonly type: 'question'; readonly to: number; readonly question: LeaseQuestion }
@@ -30,18 +36,18 @@
   isDraining: boolean;
 }
 
-/** Steps real members and leads through a history; `check` says what is wrong with the present moment. */
-export class LeaseWorld {
+/** Runs real members and leads through a history; `check` verifies the invariants of the current state. */
+export class LeaseSimulation {
   readonly #classes: LeaseClasses;
   readonly #hosts: readonly Host[];
   #now = 0;
   #messages: readonly Message[] = [];
   #groups: readonly Group[] = [];
   #fencingNumber = 0;
-  /** When, and in which start, a member last granted a placement: `member/fencing number`. */
+  /** Time and incarnation of the last grant, by `member/fencing number`. */
   readonly #grants = new Map<string, { readonly at: number; readonly start: number }>();
 
-  /** `rates` are how fast the hosts' clocks run against true time. */
+  /** `rates` are the speeds of the hosts' clocks relative to true time. */
   constructor(rates: readonly number[], classes: LeaseClasses = realClasses) {
     this.#classes = classes;
     this.#hosts = rates.map((rate, index) => ({
@@ -68,8 +74,8 @@
         this.#pass(step.milliseconds);
         return;
       case 'deliver':
-      case 'double':
-      case 'lose':
+      case 'duplicate':
+      case 'drop':
         this.#moveMessage(step.type, step.index);
         return;
       case 'deliverAll':
@@ -81,16 +87,16 @@
       case 'restart':
       case 'freeze':
       case 'thaw':
-      case 'learn':
-      case 'sicken':
-      case 'cure':
+      case 'updatePlacements':
+      case 'fail':
+      case 'recover':
       case 'drain':
-      case 'cut':
+      case 'disconnect':
         this.#stepHost(step.type, this.#host(step.host));
     }
   }
 
-  /** Ends all faults and lets three leases pass; the newest placement must then be whole. */
+  /** Ends all faults and advances time by three leases; the newest placement must then be whole. */
   heal(): void {
     for (const host of this.#hosts) {
       host.isFrozen = false;
@@ -100,7 +106,7 @@
     }
     for (let time = 0; time < 3 * duration; time += duration / 8) {
       this.#hosts.forEach((host) => {
-        this.#learn(host);
+        this.#updatePlacements(host);
         this.#setHealth(host, true);
       });
       this.#pass(duration / 8);
@@ -108,14 +114,14 @@
     }
   }
 
-  /** Fencing numbers of the placements that would admit an attempt at this moment. */
+  /** Fencing numbers of the placements that are whole now. */
   listWhole(): readonly number[] {
     return this.#listLeads()
       .filter(({ host, lead }) => lead.isWhole(this.#clock(host)))
       .map(({ group }) => group.fencingNumber);
   }
 
-  /** What must never be: undefined when all is well. */
+  /** Returns a description of a violated invariant, or undefined. */
   check(): string | undefined {
     const holders = new Map<string, number>();
     for (const { host, group, lead } of this.#listLeads()) {
@@ -137,7 +143,10 @@
     return undefined;
   }
 
-  /** On the member's own clock its lease still stands; or it restarted within one lease, waits, and vouches for nobody. */
+  /**
+   * Checks that the lease is valid on the member's own clock, or that the member restarted within one lease and holds
+   * no grant while it waits.
+   */
   #checkMember(name: string, group: Group): string | undefined {
     const host = this.#host(Number(name));
     const holder = host.member.holder(this.#clock(host));
@@ -164,18 +173,18 @@
         host.isFrozen = false;
         this.#tick(host);
         return;
-      case 'learn':
-        this.#learn(host);
+      case 'updatePlacements':
+        this.#updatePlacements(host);
         return;
-      case 'sicken':
-      case 'cure':
-        this.#setHealth(host, type === 'cure');
+      case 'fail':
+      case 'recover':
+        this.#setHealth(host, type === 'recover');
         return;
       case 'drain':
         this.#drain(host);
         return;
-      case 'cut':
-        this.#cut(host);
+      case 'disconnect':
+        this.#disconnect(host);
     }
   }
 
@@ -192,7 +201,7 @@
     }
     for (const held of host.leads.values()) {
       if (held.wakeAt <= this.#clock(host)) {
-        this.#carryOut(held, held.lead.handle({ type: 'ticked', now: this.#clock(host) }));
+        this.#applyEffects(held, held.lead.handle({ type: 'ticked', now: this.#clock(host) }));
       }
     }
   }
@@ -207,20 +216,20 @@
     }
   }
 
-  #moveMessage(type: 'deliver' | 'double' | 'lose', index: number): void {
+  #moveMessage(type: 'deliver' | 'duplicate' | 'drop', index: number): void {
     const message = this.#messages[index % Math.max(1, this.#messages.length)];
     if (message === undefined) {
       return;
     }
-    if (type !== 'double') {
+    if (type !== 'duplicate') {
       this.#messages = this.#messages.filter((other) => other !== message);
     }
-    if (type !== 'lose') {
+    if (type !== 'drop') {
       this.#deliver(message);
     }
   }
 
-  /** A message to a frozen host waits; an answer to a lead that is no more has no connection to come in on. */
+  /** Keeps messages to a frozen host; drops answers to a lead that no longer exists, since its connection is closed. */
   #deliver(message: Message): void {
     const host = this.#host(message.to);
     if (host.isFrozen) {
@@ -241,7 +250,7 @@
     const held = host.leads.get(message.answer.fencingNumber);
     if (held?.lead === message.lead) {
       const event = { type: 'answered', now, answer: message.answer } as const;
-      this.#carryOut(held, held.lead.handle(event));
+      this.#applyEffects(held, held.lead.handle(event));
     }
   }
 
@@ -256,7 +265,7 @@
     }
   }
 
-  #carryOut(held: { wakeAt: number }, effects: readonly LeaseLeadEffect[]): void {
+  #applyEffects(held: { wakeAt: number }, effects: readonly LeaseLeadEffect[]): void {
     for (const effect of effects) {
       if (effect.type === 'ask') {
         const { question, member } = effect;
@@ -279,12 +288,12 @@
     ];
   }
 
-  /** A host hears of control's present placements; one that hears nothing goes on with what it knew. */
-  #learn(host: Host): void {
+  /** Informs a host of control's current placements; without this step it continues with the previous ones. */
+  #updatePlacements(host: Host): void {
     const now = this.#clock(host);
     for (const [fencingNumber, held] of host.leads) {
       if (!this.#groups.includes(held.group)) {
-        this.#carryOut(held, held.lead.handle({ type: 'dissolved', now }));
+        this.#applyEffects(held, held.lead.handle({ type: 'dissolved', now }));
         host.leads.delete(fencingNumber);
       }
     }
@@ -301,18 +310,18 @@
         host.member.handle(event);
       }
       if (findLead(group).host === String(host.index) && !host.leads.has(fencingNumber)) {
-        this.#lead(host, group);
+        this.#startLead(host, group);
       }
     }
   }
 
-  #lead(host: Host, group: Group): void {
+  #startLead(host: Host, group: Group): void {
     const incarnation = `${host.index}/${host.start}`;
     const timing = { duration, confirmBatch: 3, confirmTimeout: 50 };
     const lead = this.#classes.createLead({ group, incarnation, ...timing });
     const held = { group, lead, wakeAt: Infinity };
     host.leads.set(group.fencingNumber, held);
-    this.#carryOut(held, lead.handle({ type: 'started', now: this.#clock(host) }));
+    this.#applyEffects(held, lead.handle({ type: 'started', now: this.#clock(host) }));
   }
 
   #restart(host: Host): void {
@@ -344,8 +353,8 @@
     }
   }
 
-  /** All connections of leads to this host close. */
-  #cut(host: Host): void {
+  /** Closes all connections of leads to this host. */
+  #disconnect(host: Host): void {
     for (const { host: other, lead, held } of this.#listLeads()) {
       const event = {
         type: 'connectionClosed',
@@ -353,7 +362,7 @@
         member: String(host.index),
       } as const;
       if (!other.isFrozen) {
-        this.#carryOut(held, lead.handle(event));
+        this.#applyEffects(held, lead.handle(event));
       }
     }
   }
@@ -369,7 +378,7 @@
     return this.#classes.createMember({ host: String(index), incarnation, longestLease: duration });
   }
 
-  /** Each clock started at another moment and runs at its own rate. */
+  /** Each clock has its own offset and rate. */
   #clock(host: Host): number {
     return 100_000 * host.index + this.#now * host.rate;
   }
@@ -377,7 +386,7 @@
   #host(index: number): Host {
     const host = this.#hosts[index % this.#hosts.length];
     if (host === undefined) {
-      throw new Error('a world without hosts');
+      throw new Error('the simulation has no hosts');
     }
     return host;
   }
--- a/__tests__/lease/stream-codecs.test.ts
+++ b/__tests__/lease/stream-codecs.test.ts
@@ -34,7 +34,7 @@
 };
 
 describe('lease messages on a stream', () => {
-  it('carries questions whole, with names only where they change', () => {
+  it('transmits complete questions, with names only where they change', () => {
     const writer = new LeaseQuestionWriter();
     const reader = new LeaseQuestionReader();
     const questions = [
@@ -50,7 +50,7 @@
     expect(bytes.map((each) => each.length < 12)).toEqual([false, true, true, false, true]);
   });
 
-  it('carries answers whole, with names only where they change', () => {
+  it('transmits complete answers, with names only where they change', () => {
     const writer = new LeaseAnswerWriter();
     const reader = new LeaseAnswerReader();
     const answers: readonly LeaseAnswer[] = [
@@ -64,7 +64,7 @@
     expect(read).toEqual(answers);
   });
 
-  it('refuses a stream that begins without names', () => {
+  it('rejects a stream that starts without names', () => {
     const writer = new LeaseQuestionWriter();
     writer.write(question);
     const message = writer.write({ ...question, sequence: 8 });
--- a/__tests__/placement/differential.test.ts
+++ b/__tests__/placement/differential.test.ts
@@ -21,22 +21,22 @@
 } from './fixtures.js';
 import { countNaiveGroups } from './naive.js';
 
-/** Placement against a naive one, over random losses and returns. */
+/** Compares placement with a naive algorithm over random losses and returns of hosts. */
 
 const runs = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? 2000);
 const seed = 20_261_202;
 const timeout = 120_000 + 10 * runs;
 const replicaSize = 3;
-/** Longer than any load, so that waiting is never the better choice; the naive placement never waits either. */
-const tooLong = 600_000;
+/** Longer than any load, so that waiting is never the better choice; the naive algorithm never waits either. */
+const longAbsence = 600_000;
 
-/** A loss or return of one host. */
-interface Move {
+/** A change of the state of one host. */
+interface HostChange {
   readonly host: number;
   readonly state: 'present' | 'gone' | 'suspected' | 'quarantined' | 'unloaded';
 }
 
-const move: fc.Arbitrary<Move> = fc.record({
+const move: fc.Arbitrary<HostChange> = fc.record({
   host: fc.nat({ max: 40 }),
   state: fc.constantFrom(
     'present',
@@ -56,25 +56,25 @@
   allowAcrossFabricDomains: fc.boolean(),
 });
 
-function applyMove(
+function applyHostChange(
   hosts: readonly PlacementHost[],
-  { host, state }: Move,
+  { host, state }: HostChange,
 ): readonly PlacementHost[] {
   const target = host % hosts.length;
   return hosts.map((each, index) => (index === target ? change(each, state) : each));
 }
 
-function change(host: PlacementHost, state: Move['state']): PlacementHost {
+function change(host: PlacementHost, state: HostChange['state']): PlacementHost {
   const { facts } = host;
   switch (state) {
     case 'unloaded':
       return load({ ...host, availability: { type: 'present' } }, []);
     case 'suspected':
-      return { ...host, availability: { type: 'suspected', expectedReturn: tooLong } };
+      return { ...host, availability: { type: 'suspected', expectedReturn: longAbsence } };
     case 'present':
       return load({ facts, availability: { type: 'present' } }, [artifact]);
     case 'quarantined':
-      return { ...host, availability: { type: 'quarantined', expectedReturn: tooLong } };
+      return { ...host, availability: { type: 'quarantined', expectedReturn: longAbsence } };
     case 'gone':
       return { ...host, availability: { type: 'gone' } };
   }
@@ -85,8 +85,8 @@
   return { ...host, facts: { ...host.facts, upstream } };
 }
 
-/** Leads say what is true of their members. */
-function report(groups: readonly PlacedGroup[], hosts: readonly PlacementHost[]) {
+/** Sets the health of each group as its lead would report it for the current hosts. */
+function reportHealth(groups: readonly PlacedGroup[], hosts: readonly PlacementHost[]) {
   const usable = new Set(hosts.filter(isUsable).map((host) => host.facts.host));
   return groups.map((placed) => {
     const isServing = listMembers(placed).every((host) => usable.has(host));
@@ -94,7 +94,7 @@
   });
 }
 
-function expectSound(
+function expectValid(
   groups: readonly PlacedGroup[],
   decision: PlacementDecision,
   hosts: readonly PlacementHost[],
@@ -108,9 +108,9 @@
   }
 }
 
-describe('placement against a naive one', () => {
+describe('placement compared with a naive algorithm', () => {
   it(
-    'keeps whole groups as they are, places sound ones, and has as many as the naive',
+    'keeps serving groups unchanged, places only usable hosts, and has at least as many groups as the naive algorithm',
     { timeout },
     () => {
       const property = fc.property(domains, moves, weights, (sizes, history, policy) => {
@@ -123,11 +123,11 @@
         );
         let groups: readonly PlacedGroup[] = [];
         for (const step of history) {
-          hosts = applyMove(hosts, step);
-          const before = report(groups, hosts);
+          hosts = applyHostChange(hosts, step);
+          const before = reportHealth(groups, hosts);
           const decision = planPlacement(createInput({ configuration, hosts, groups: before }));
           groups = applyDecision(before, decision);
-          expectSound(groups, decision, hosts);
+          expectValid(groups, decision, hosts);
           expectKept(before, groups);
           const waiting = decision.notes.filter(({ type }) => type === 'waitingForReturn').length;
           expect(countComplete(groups, hosts) + waiting).toBeGreaterThanOrEqual(
@@ -147,7 +147,7 @@
   }
 }
 
-/** Groups whose members can all work. */
+/** Number of groups whose members are all usable. */
 function countComplete(groups: readonly PlacedGroup[], hosts: readonly PlacementHost[]): number {
   const usable = new Set(hosts.filter(isUsable).map((host) => host.facts.host));
   return groups.filter((placed) => listMembers(placed).every((host) => usable.has(host))).length;
--- a/__tests__/placement/fixtures.ts
+++ b/__tests__/placement/fixtures.ts
@@ -16,7 +16,7 @@
   PlacedGroup,
 } from '../../src/placement/index.js';
 
-/** Small builders for placement's inputs. */
+/** Builders for inputs of placement. */
 
 export const artifact: Artifact = { model: 'assist', version: '1', adapters: [] };
 
@@ -93,7 +93,7 @@
   };
 }
 
-/** Groups after a decision, as control's state would hold them; new ones get the next fencing numbers. */
+/** Groups after a decision, as in control's state; new and replaced groups get the next fencing numbers. */
 export function applyDecision(
   groups: readonly PlacedGroup[],
   decision: PlacementDecision,
@@ -116,12 +116,12 @@
   return [...kept.values()];
 }
 
-/** The same groups, each said to serve by its lead. */
+/** The same groups, each reported as serving by its lead. */
 export function serve(groups: readonly PlacedGroup[]): readonly PlacedGroup[] {
   return groups.map(({ group }) => withHealth(group, createHealth(group, true)));
 }
 
-/** A placed group with what its lead says of it. */
+/** A placed group with the health reported by its lead. */
 export function withHealth(group: Group, health: GroupHealth | undefined): PlacedGroup {
   return { group, health, incompleteFor: 0 };
 }
--- a/__tests__/placement/naive.ts
+++ b/__tests__/placement/naive.ts
@@ -1,7 +1,7 @@
 import type { PlacedGroup, PlacementHost } from '../../src/placement/index.js';
 import { isUsable } from '../../src/placement/index.js';
 
-/** How many groups a naive placement has: the intact ones, and what is left chunked by fabric domain, whatever it has loaded. */
+/** Number of groups of a naive placement: keeps intact groups and splits the other hosts by fabric domain, whatever they have loaded. */
 export function countNaiveGroups(
   hosts: readonly PlacementHost[],
   groups: readonly PlacedGroup[],
--- a/__tests__/placement/plan.test.ts
+++ b/__tests__/placement/plan.test.ts
@@ -18,8 +18,8 @@
   withHealth,
 } from './fixtures.js';
 
-/** Places all that can be placed from nothing, serving. */
-function settle(input: PlacementInput): readonly PlacedGroup[] {
+/** Applies one placement decision and reports all its groups as serving. */
+function placeAndServe(input: PlacementInput): readonly PlacedGroup[] {
   return serve(applyDecision(input.groups, planPlacement(input)));
 }
 
@@ -27,7 +27,7 @@
 
 describe('placement of new groups', () => {
   it('forms as many groups as each fabric domain holds and leaves the rest as spares', () => {
-    const groups = settle(createInput({ hosts: tenAndTen }));
+    const groups = placeAndServe(createInput({ hosts: tenAndTen }));
     expect(groups.map(({ group }) => group.name)).toEqual([1, 2, 3, 4].map((n) => `assist/${n}`));
     for (const placed of groups) {
       expect(new Set(listMembers(placed).map((host) => host.split('-')[0])).size).toBe(1);
@@ -36,21 +36,21 @@
 
   it('spreads a declared number of replicas over failure domains', () => {
     const configuration = configure([declare({ replicas: 2 })]);
-    const groups = settle(createInput({ hosts: tenAndTen, configuration }));
+    const groups = placeAndServe(createInput({ hosts: tenAndTen, configuration }));
     expect(groups.map((placed) => listMembers(placed)[0]?.split('-')[0])).toEqual([
       'bole',
       'kality',
     ]);
   });
 
-  it('gives hosts by labels to the declarations that select them', () => {
+  it('assigns hosts to the declarations that select them by labels', () => {
     const hosts = tenAndTen.map((host) =>
       host.facts.fabricDomain === 'bole'
         ? { ...host, facts: { ...host.facts, labels: { pool: 'desk' } } }
         : host,
     );
     const desk = declare({ name: 'desk', hosts: { pool: ['desk'] }, replicas: 1 });
-    const groups = settle(createInput({ hosts, configuration: configure([desk]) }));
+    const groups = placeAndServe(createInput({ hosts, configuration: configure([desk]) }));
     expect(groups).toHaveLength(1);
     expect(groups.flatMap(listMembers).every((host) => host.startsWith('bole'))).toBe(true);
   });
@@ -63,19 +63,19 @@
     expect(decision.loads).toEqual({ limit: 8, running: 0, started: 8 });
   });
 
-  it('spans fabric domains only where the policy allows it and its weights say so', () => {
+  it('spans fabric domains only where the policy allows it and its weights favor it', () => {
     const hosts = [...createHosts('bole', 6), ...createHosts('kality', 6)];
     const decide = (policy: Partial<Policy>, hostUnavailability: number) => {
       const configuration = configure([declare()], policy);
       const estimates = { loadDuration: 120_000, handover: 3000, hostUnavailability };
-      return settle(createInput({ hosts, configuration, estimates })).length;
+      return placeAndServe(createInput({ hosts, configuration, estimates })).length;
     };
     const allowAcrossFabricDomains = true;
     const downtime = { groupDowntimeWeight: 10, strandedAcceleratorWeight: 1 };
     const stranded = { groupDowntimeWeight: 1, strandedAcceleratorWeight: 10 };
     expect(decide(downtime, 0.005)).toBe(2);
     expect(decide({ ...downtime, allowAcrossFabricDomains }, 0.005)).toBe(3);
-    // Hosts that are often away: the spares are worth more to groups that break than to one more slow group.
+    // With hosts that are often unavailable, spares are worth more for repairs than for one more slow group.
     expect(decide({ ...downtime, allowAcrossFabricDomains }, 0.2)).toBe(2);
     expect(decide({ ...stranded, allowAcrossFabricDomains }, 0.2)).toBe(3);
   });
@@ -91,7 +91,7 @@
       concurrency: 4,
     };
     const configuration = { ...configure([]), services: [service] };
-    const groups = settle(createInput({ hosts, configuration }));
+    const groups = placeAndServe(createInput({ hosts, configuration }));
     expect(groups.map(({ group }) => group.name)).toEqual(['desk/1', 'desk/2']);
     expect(planPlacement(createInput({ hosts, configuration, groups })).place).toEqual([]);
   });
@@ -100,14 +100,14 @@
 const emptyEngine = { type: 'engine', loaded: [], checksFencingNumber: true } as const;
 
 describe('repair', () => {
-  const groups = settle(createInput({ hosts: tenAndTen }));
+  const groups = placeAndServe(createInput({ hosts: tenAndTen }));
   const first = groups[0];
   if (first === undefined) {
     throw new Error('no group was placed');
   }
   const victim = listMembers(first)[1] ?? '';
 
-  /** The groups after the victim was lost, its own no longer serving. */
+  /** Hosts and groups after the victim was lost; its own group no longer serves. */
   function lose(availability: Parameters<typeof withAvailability>[2]) {
     const broken = groups.map((placed) =>
       placed === first ? withHealth(first.group, createHealth(first.group, false)) : placed,
@@ -145,7 +145,7 @@
     expect(loaded.notes).toContainEqual({ type: 'repaired', group: first.group.name });
   });
 
-  it('gives the place back to the host that returns loaded while the spare still loads', () => {
+  it('swaps a lost host that returns loaded back in while its replacement is still loading', () => {
     const loss = lose({ type: 'gone' });
     const unloaded = loss.hosts.map((host) =>
       listMembers(first).includes(host.facts.host)
@@ -162,24 +162,24 @@
     expect(decision.place[0]?.members.map((member) => member.host)).toContain(victim);
   });
 
-  it('leaves a group alone that its lead says is serving, whatever control hears of a member', () => {
+  it('does not change a group that its lead reports as serving, even if control considers a member gone', () => {
     const hosts = withAvailability(tenAndTen, victim, { type: 'gone' });
     expect(planPlacement(createInput({ hosts, groups })).place).toEqual([]);
   });
 
-  it('acts on no loss while control suspects itself', () => {
+  it('does not act on lost hosts while control suspects that it is isolated', () => {
     const decision = planPlacement(
       createInput({ ...lose({ type: 'gone' }), isWatcherSuspected: true }),
     );
     expect([decision.place, decision.dissolve]).toEqual([[], []]);
   });
 
-  // Symptom: four healthy hosts serve nobody for half a minute after one of them froze for six seconds.
-  // Sequence: a member freezes, is missed, comes back and is held back; there is no spare in its fabric domain.
-  // Cause: a member held back counted as lost for good, and a group with a member lost for good is dissolved.
-  it('keeps a group whose member is held back when no spare can take its place', () => {
+  // Regression: after one of four hosts froze for six seconds, all four served nothing for half a minute.
+  // The member came back and was quarantined, with no spare in its fabric domain. It was treated as permanently lost,
+  // and a group with a permanently lost member is dissolved.
+  it('keeps a group with a quarantined member when no spare can replace it', () => {
     const four = createHosts('bole', 4);
-    const groups = settle(createInput({ hosts: four }));
+    const groups = placeAndServe(createInput({ hosts: four }));
     const broken = groups.map(({ group }) => withHealth(group, createHealth(group, false)));
     const heldBack = { type: 'quarantined', expectedReturn: 30_000 } as const;
     const hosts = withAvailability(four, 'bole-2', heldBack);
@@ -191,7 +191,7 @@
 
   it('merges broken groups of a fabric domain when no spare is left', () => {
     const hosts = createHosts('bole', 12);
-    const placed = settle(createInput({ hosts }));
+    const placed = placeAndServe(createInput({ hosts }));
     const [one, two, three] = placed;
     if (one === undefined || two === undefined || three === undefined) {
       throw new Error('expected three groups');
@@ -212,9 +212,9 @@
     expect(decision.place[0]?.members).toHaveLength(4);
   });
 
-  it('places a group anew when its lead has restarted', () => {
-    // Symptom: a group with all its members never serves again. Sequence: the sidecar that leads it restarts. Cause: gateways
-    // name the incarnation that the placement names, and the new start refuses attempts meant for the old one.
+  it('renews the placement of a group when its lead has restarted', () => {
+    // Guards against a complete group that never serves again after its lead's sidecar restarts: gateways send attempts
+    // for the incarnation in the placement, and the new incarnation refuses attempts addressed to the old one.
     const lead = listMembers(first)[0] ?? '';
     const hosts = withFacts(tenAndTen, lead, { incarnation: 'restarted' });
     const broken = groups.map((placed) =>
@@ -227,8 +227,8 @@
   });
 
   it('repairs a second loss right after a repair', () => {
-    // Symptom: a group stays down although a spare is idle. Sequence: a member is lost, a spare takes its place, the spare
-    // is lost before the group served again. Cause to keep out: taking the group as under repair and leaving it alone.
+    // Guards against a group that stays down although a spare is idle: a member is lost, and the spare that replaces it is
+    // lost before the group serves again. The group must not be skipped as already under repair.
     const loss = lose({ type: 'gone' });
     const repaired = applyDecision(loss.groups, planPlacement(createInput(loss)));
     const target = repaired.find(({ group }) => group.name === first.group.name);
@@ -241,13 +241,13 @@
 });
 
 describe('a host that comes back', () => {
-  const groups = settle(createInput({ hosts: tenAndTen }));
+  const groups = placeAndServe(createInput({ hosts: tenAndTen }));
   const lead = groups[0]?.group.members[0]?.host ?? '';
   const silent = groups.map(({ group }) => withHealth(group, createHealth(group, false)));
 
-  // Symptom: a group drains although no operator changed anything. Sequence: a sidecar restarts, or comes back from a
-  // freeze, and reports before the engine beside it has announced itself again. Cause: a host whose upstream is not known
-  // was taken as one that operators no longer want in the group.
+  // Regression: a group drained without any configuration change. A sidecar that restarted or recovered from a freeze
+  // reported before its engine had announced itself again, and a host with an unknown upstream was treated as no longer
+  // selected for the group.
   it('is not taken out of its group before its upstream has announced itself', () => {
     const unwell = { type: 'suspected', expectedReturn: 1000 } as const;
     const restarted = withFacts(tenAndTen, lead, { upstream: undefined, isHealthy: false });
@@ -266,7 +266,7 @@
         },
       ],
     };
-    const services = settle(createInput({ hosts: [desk], configuration }));
+    const services = placeAndServe(createInput({ hosts: [desk], configuration }));
     const silentDesk = withFacts([desk], 'desk-1', { upstream: undefined, isHealthy: false });
     const unknown = withAvailability(silentDesk, 'desk-1', unwell);
     const decision = planPlacement(
@@ -275,8 +275,8 @@
     expect([services.length, decision.place]).toEqual([1, []]);
   });
 
-  // Symptom: a group stays in draining for ever and its hosts are stranded. Sequence: the lead of a draining group
-  // restarts. Cause: only the lead's former start could say that the drain is over.
+  // Regression: a group stayed draining forever and its hosts were stranded. Its lead had restarted, and only the
+  // previous incarnation could report that the drain was finished.
   it('ends the drain of a group that it led before it restarted', () => {
     const configuration = configure([declare({ replicas: 0 })]);
     const draining = silent.map(({ group }) =>
@@ -289,10 +289,10 @@
 });
 
 describe('changes by operators', () => {
-  const groups = settle(createInput({ hosts: tenAndTen }));
+  const groups = placeAndServe(createInput({ hosts: tenAndTen }));
   const newer = { ...artifact, version: '2' };
 
-  it('drains at once what no declaration asks for, and dissolves it when it is drained', () => {
+  it('drains groups without a declaration at once and dissolves them when drained', () => {
     const configuration = configure([]);
     const decision = planPlacement(createInput({ hosts: tenAndTen, groups, configuration }));
     expect(decision.place.every(({ isDraining }) => isDraining)).toBe(true);
@@ -313,7 +313,7 @@
     ).toHaveLength(4);
   });
 
-  it('exchanges one group at a time for a new version where downtime weighs most', () => {
+  it('replaces one group at a time by a new version when downtime has the higher weight', () => {
     const configuration = configure([declare({ carries: newer })], { groupDowntimeWeight: 10 });
     const decision = planPlacement(createInput({ hosts: tenAndTen, groups, configuration }));
     expect(decision.place.filter(({ isDraining }) => isDraining)).toHaveLength(1);
@@ -349,9 +349,10 @@
     expect(formed.place[0]?.members.map((member) => member.host)).not.toContain(leaving);
   });
 
-  it('gives a group that drained and forms again of the same hosts a new fencing number', () => {
-    // Symptom: a group stays down although all its hosts are well. Sequence: a label is taken away and set again while the group
-    // drains. Cause: the same members under the same name kept the number of a placement whose lead had handed its leases back.
+  it('gives a group that drained and formed again from the same hosts a new fencing number', () => {
+    // Regression: a group stayed down although all its hosts were healthy. A label was removed and set again while the
+    // group drained, and the same members under the same name kept the fencing number of a placement whose lead had
+    // already released its leases.
     const first = groups[0];
     const drained = groups.map((placed) =>
       placed === first
--- a/src/lease/codecs.ts
+++ b/src/lease/codecs.ts
@@ -9,7 +9,7 @@
 } from '../generated/pistachiospoke/v1/lease_pb.js';
 import type { LeaseAnswer, LeaseQuestion } from './messages.js';
 
-/** Between lease messages of the model and those of the wire. */
+/** Converts lease messages between their internal form and the wire format. */
 
 export function encodeLeaseQuestion(question: LeaseQuestion): LeaseQuestionMessage {
   return create(LeaseQuestionSchema, {
--- a/src/lease/confirmation.ts
+++ b/src/lease/confirmation.ts
@@ -1,12 +1,12 @@
 import type { Milliseconds } from '../common/index.js';
 
 /**
- * Rounds in which a lead asks all members right before attempts go to the engine.
- * A lease alone lets a silent loss go unnoticed until it runs out; a confirmed attempt was vouched for by every
- * member after it came in.
+ * Confirmation rounds: a lead asks all members again right before attempts go to the engine.
+ * With leases alone, the silent loss of a member goes unnoticed until its lease expires. For a confirmed attempt,
+ * every member has granted a question that was sent after the attempt arrived.
  */
 
-/** The answer for the attempts of one round. */
+/** Result of one round, for all its attempts. */
 export interface SettledRound {
   readonly tokens: readonly string[];
   readonly isConfirmed: boolean;
@@ -18,48 +18,48 @@
   readonly deadline: Milliseconds;
 }
 
-/** Collects attempts that want a confirmation into rounds: one open to join, one under way. */
+/** Batches attempts into confirmation rounds: one round collects attempts while at most one is in progress. */
 export class ConfirmationRounds {
-  readonly #batch: Milliseconds;
+  readonly #batchDelay: Milliseconds;
   readonly #timeout: Milliseconds;
   #waiting: readonly string[] = [];
   #sendAt: Milliseconds = Infinity;
-  #underWay: Round | undefined;
+  #activeRound: Round | undefined;
 
   constructor(batch: Milliseconds, timeout: Milliseconds) {
-    this.#batch = batch;
+    this.#batchDelay = batch;
     this.#timeout = timeout;
   }
 
-  /** When this has something to do. */
+  /** Time at which the next round is due or the active one times out. */
   get wakeAt(): Milliseconds {
-    return this.#underWay?.deadline ?? this.#sendAt;
+    return this.#activeRound?.deadline ?? this.#sendAt;
   }
 
-  /** Joins the open round; one under way may already have passed a member that died since. */
+  /** Adds an attempt to the open round, not to the active one, whose answers may predate the failure of a member. */
   join(token: string, now: Milliseconds): void {
     this.#waiting = [...this.#waiting, token];
-    this.#sendAt = Math.min(this.#sendAt, now + this.#batch);
+    this.#sendAt = Math.min(this.#sendAt, now + this.#batchDelay);
   }
 
-  /** Whether the open round is to be sent now. */
+  /** Whether the open round is due to be sent. */
   isDue(now: Milliseconds): boolean {
-    return this.#underWay === undefined && now >= this.#sendAt;
+    return this.#activeRound === undefined && now >= this.#sendAt;
   }
 
-  /** All members are asked now, for whatever reason: the open round rides along. */
-  noteAsked(now: Milliseconds): void {
-    if (this.#underWay !== undefined || this.#waiting.length === 0) {
+  /** Records that questions are being sent to all members, for whatever reason; starts the open round with them. */
+  recordQuestionsSent(now: Milliseconds): void {
+    if (this.#activeRound !== undefined || this.#waiting.length === 0) {
       return;
     }
-    this.#underWay = { tokens: this.#waiting, sentAt: now, deadline: now + this.#timeout };
+    this.#activeRound = { tokens: this.#waiting, sentAt: now, deadline: now + this.#timeout };
     this.#waiting = [];
     this.#sendAt = Infinity;
   }
 
-  /** Ends the round under way once each member granted a question sent since its start, or its time is over. */
+  /** Ends the active round once every member has granted a question sent since its start, or once it times out. */
   settle(now: Milliseconds, confirmedSince: Milliseconds): SettledRound | undefined {
-    const round = this.#underWay;
+    const round = this.#activeRound;
     if (round === undefined) {
       return undefined;
     }
@@ -67,14 +67,14 @@
     if (!isConfirmed && now < round.deadline) {
       return undefined;
     }
-    this.#underWay = undefined;
+    this.#activeRound = undefined;
     return { tokens: round.tokens, isConfirmed };
   }
 
-  /** Gives up everything; returns the tokens that will not be confirmed. */
+  /** Cancels all rounds and returns the tokens that will not be confirmed. */
   abandon(): readonly string[] {
-    const tokens = [...(this.#underWay?.tokens ?? []), ...this.#waiting];
-    this.#underWay = undefined;
+    const tokens = [...(this.#activeRound?.tokens ?? []), ...this.#waiting];
+    this.#activeRound = undefined;
     this.#waiting = [];
     this.#sendAt = Infinity;
     return tokens;
--- a/src/lease/held-lease.ts
+++ b/src/lease/held-lease.ts
@@ -1,20 +1,20 @@
 import type { Milliseconds } from '../common/index.js';
 import type { GroupMember, Incarnation } from '../model/index.js';
 
-/** Share of a lease after which a lead asks a member again that was refused or cut; doubles with each time in a row. */
+/** Delay of the first retry after a refusal or a closed connection, as a share of the lease; doubles with each consecutive failure. */
 const firstRetryShare = 1 / 20;
-/** After so many the regular rounds are soon enough, and a member that loads for minutes is not asked in vain. */
-const mostRetries = 3;
+/** After this many retries the regular rounds suffice; more would be wasted on a member that loads for minutes. */
+const maxRetries = 3;
 
-/** What a lead holds of one member. */
+/** A lead's record of the lease of one member. */
 export class HeldLease {
   readonly member: GroupMember;
-  /** Questions without an answer yet, by sequence, with when they left. */
+  /** Send times of unanswered questions, by sequence. */
   readonly #pending = new Map<number, Milliseconds>();
   #sequence = 0;
-  /** Highest sequence whose answer counted; an older answer says nothing of the present. */
+  /** Highest sequence whose answer was accepted; answers to older questions are outdated and ignored. */
   #lastAnswered = 0;
-  #until: Milliseconds = -Infinity;
+  #expiresAt: Milliseconds = -Infinity;
   #confirmedSentAt: Milliseconds = -Infinity;
   #incarnation: Incarnation | undefined;
   #retryAt: Milliseconds = Infinity;
@@ -24,27 +24,28 @@
     this.member = member;
   }
 
-  /** End of the lease on the lead's clock. */
-  get until(): Milliseconds {
-    return this.#until;
+  /** Expiry of the lease on the lead's clock. */
+  get expiresAt(): Milliseconds {
+    return this.#expiresAt;
   }
 
-  /** When the last question that was granted left. */
+  /** Send time of the last question that was granted. */
   get confirmedSentAt(): Milliseconds {
     return this.#confirmedSentAt;
   }
 
-  /** When to ask again out of turn. */
+  /** When to retry ahead of the next regular round. */
   get retryAt(): Milliseconds {
     return this.#retryAt;
   }
 
   /**
-   * Records a question that leaves now and returns its sequence.
-   * Sequences start at the clock's milliseconds, which grow faster than questions are asked: a lead that is set up
-   * again within one start of the sidecar must not be taken for one that its former self released.
+   * Records a question sent now and returns its sequence.
+   * Sequences start at the clock's milliseconds, which grow faster than questions are sent. So a lead that is created
+   * again within one incarnation of the sidecar uses higher sequences than the release of its predecessor, and the
+   * member does not take its questions for ones sent before that release.
    */
-  noteAsked(now: Milliseconds, duration: Milliseconds): number {
+  recordQuestion(now: Milliseconds, duration: Milliseconds): number {
     for (const [sequence, sentAt] of this.#pending) {
       if (sentAt + duration <= now) {
         this.#pending.delete(sequence);
@@ -56,15 +57,15 @@
     return this.#sequence;
   }
 
-  /** Records a grant and returns when its question left; undefined for one that does not count. */
-  noteGranted(sequence: number, incarnation: Incarnation): Milliseconds | undefined {
+  /** Records a grant and returns the send time of its question; undefined if the grant is outdated. */
+  recordGrant(sequence: number, incarnation: Incarnation): Milliseconds | undefined {
     const sentAt = this.#pending.get(sequence);
     if (sentAt === undefined || sequence <= this.#lastAnswered) {
       return undefined;
     }
     if (this.#incarnation !== incarnation) {
       this.#incarnation = incarnation;
-      this.#until = -Infinity;
+      this.#expiresAt = -Infinity;
     }
     this.#pending.delete(sequence);
     this.#lastAnswered = sequence;
@@ -73,38 +74,38 @@
     return sentAt;
   }
 
-  /** Moves the end of the lease; it never moves back by an answer that was long on its way. */
+  /** Extends the lease; a delayed answer never shortens it. */
   extend(until: Milliseconds): void {
-    this.#until = Math.max(this.#until, until);
+    this.#expiresAt = Math.max(this.#expiresAt, until);
   }
 
-  /** Records a refusal, which ends the lease at once; false for one older than the last answer. */
-  noteRefused(sequence: number, now: Milliseconds, duration: Milliseconds): boolean {
+  /** Records a refusal, which ends the lease at once; returns false if it is older than the last accepted answer. */
+  recordRefusal(sequence: number, now: Milliseconds, duration: Milliseconds): boolean {
     if (sequence < this.#lastAnswered) {
       return false;
     }
     this.#lastAnswered = sequence;
     this.#end();
-    this.#retry(now, duration);
+    this.#scheduleRetry(now, duration);
     return true;
   }
 
-  /** Ends the lease: whatever was asked before says nothing any more. */
-  noteClosed(now: Milliseconds, duration: Milliseconds): void {
+  /** Ends the lease after a closed connection; answers to earlier questions are ignored. */
+  recordDisconnect(now: Milliseconds, duration: Milliseconds): void {
     this.#lastAnswered = this.#sequence;
     this.#end();
-    this.#retry(now, duration);
+    this.#scheduleRetry(now, duration);
   }
 
-  #retry(now: Milliseconds, duration: Milliseconds): void {
-    if (this.#retries < mostRetries) {
+  #scheduleRetry(now: Milliseconds, duration: Milliseconds): void {
+    if (this.#retries < maxRetries) {
       this.#retryAt = now + duration * firstRetryShare * 2 ** this.#retries;
       this.#retries += 1;
     }
   }
 
   #end(): void {
-    this.#until = -Infinity;
+    this.#expiresAt = -Infinity;
     this.#confirmedSentAt = -Infinity;
   }
 }
--- a/src/lease/lead.ts
+++ b/src/lease/lead.ts
@@ -16,58 +16,58 @@
 import { driftMargin, type LeaseAnswer, type LeaseQuestion } from './messages.js';
 
 /**
- * The lead's side of the group leases: one for each placement that this sidecar leads.
- * The group is whole while every member's lease is held; nothing else may admit an attempt.
+ * The lead's side of the group leases; the sidecar has one for each placement that it leads.
+ * A group is whole while its lead holds the leases of all members. Attempts are admitted only while it is.
  */
 
-/** Questions a lead sends each member within one lease: three may be lost before the lease is. */
+/** Questions a lead sends to each member per lease duration; three in a row may be lost before the lease expires. */
 export const questionsPerLease = 4;
 
-/** What a lead is set up with. */
+/** Options of a lease lead. */
 export interface LeaseLeadOptions {
   readonly group: Group;
   /** Incarnation of the sidecar that leads. */
   readonly incarnation: string;
   readonly duration: Milliseconds;
-  /** Collects confirmations that are asked for within this time into one round. */
+  /** Confirmations requested within this time are batched into one round. */
   readonly confirmBatch: Milliseconds;
-  /** A confirmation that has not come by then has failed. */
+  /** Time after which an incomplete confirmation round fails. */
   readonly confirmTimeout: Milliseconds;
 }
 
-/** What a lead is told; `now` is a reading of its own monotonic clock. */
+/** Input events of a lead; `now` is a reading of its own monotonic clock. */
 export type LeaseLeadEvent =
   | { readonly type: 'started'; readonly now: Milliseconds }
-  /** The time of the last `wake` effect has come; a tick too many does no harm. */
+  /** The time of the last `wake` effect has been reached; extra ticks are harmless. */
   | { readonly type: 'ticked'; readonly now: Milliseconds }
   | { readonly type: 'answered'; readonly now: Milliseconds; readonly answer: LeaseAnswer }
   /** The connection to a member closed, or a question could not be delivered. */
   | { readonly type: 'connectionClosed'; readonly now: Milliseconds; readonly member: HostName }
   /** Control marked the group as draining. */
   | { readonly type: 'drainRequested'; readonly now: Milliseconds }
-  /** Attempts that this lead has admitted and that have not ended. */
+  /** Number of admitted attempts that have not ended. */
   | { readonly type: 'attemptsChanged'; readonly now: Milliseconds; readonly running: number }
-  /** An attempt wants a round of confirmation before it goes to the engine. */
+  /** An attempt needs a confirmation round before it goes to the engine. */
   | { readonly type: 'confirmRequested'; readonly now: Milliseconds; readonly token: string }
-  /** The placement is over, or its drain is: hand the leases back. Nothing is admitted from here on. */
+  /** The placement has ended, or its drain has finished: release the leases. Nothing is admitted afterwards. */
   | { readonly type: 'dissolved'; readonly now: Milliseconds };
 
-/** What a lead wants done. */
+/** Output effects of a lead. */
 export type LeaseLeadEffect =
   | { readonly type: 'ask'; readonly member: GroupMember; readonly question: LeaseQuestion }
-  /** Replaces the timer of the last `wake`. */
+  /** Sets the wake-up timer, replacing the previous one. */
   | { readonly type: 'wake'; readonly at: Milliseconds }
-  /** Health as control should hear of it; also the signal that attempts may or may not be admitted. */
+  /** Health to report to control; also signals whether attempts may be admitted. */
   | { readonly type: 'healthChanged'; readonly health: GroupHealth }
-  /** The group drains because this member is being stopped. */
+  /** The group started draining because this member is being stopped. */
   | { readonly type: 'drainNoted'; readonly member: HostName }
   | { readonly type: 'confirmed'; readonly token: string; readonly isWhole: boolean }
-  /** A member serves a newer placement: this one hands its leases back and is over. */
+  /** A member has a newer placement: this one releases its leases and ends. */
   | { readonly type: 'superseded'; readonly member: HostName };
 
 type Phase = 'idle' | 'holding' | 'released';
 
-/** Collects the leases of one placement's members. */
+/** Acquires and renews the leases of one placement's members. */
 export class LeaseLead implements Controller<LeaseLeadEvent, LeaseLeadEffect> {
   readonly #options: LeaseLeadOptions;
   readonly #leases: ReadonlyMap<HostName, HeldLease>;
@@ -75,10 +75,10 @@
   #phase: Phase = 'idle';
   #nextRound: Milliseconds = Infinity;
   #isDraining: boolean;
-  /** Undefined from the start of a drain until attempts are counted again: an older count may miss one just admitted. */
+  /** Undefined from the start of a drain until the next count: an older count may miss an attempt that was just admitted. */
   #running: number | undefined = 0;
   #health: GroupHealth;
-  #drainedBy: HostName | undefined;
+  #drainingMember: HostName | undefined;
 
   constructor(options: LeaseLeadOptions) {
     this.#options = options;
@@ -90,20 +90,20 @@
     this.#health = this.health(-Infinity);
   }
 
-  /** Until when every lease is held, on the lead's clock; in the past when one is not. */
+  /** Time until which all leases are held, on the lead's clock; in the past if one is not held. */
   wholeUntil(): Milliseconds {
     if (this.#phase !== 'holding') {
       return -Infinity;
     }
-    return Math.min(...[...this.#leases.values()].map((lease) => lease.until));
+    return Math.min(...[...this.#leases.values()].map((lease) => lease.expiresAt));
   }
 
-  /** Whether every member of the group vouches for it at this moment. */
+  /** Whether the leases of all members are held at `now`. */
   isWhole(now: Milliseconds): boolean {
     return now < this.wholeUntil();
   }
 
-  /** The check where an attempt is handed to the engine; read the clock for it, never reuse an older reading. */
+  /** Checks whether an attempt may be handed to the engine; callers must pass a fresh clock reading. */
   admission(now: Milliseconds): Extract<ResultCodeName, 'ok' | 'draining' | 'notWhole'> {
     if (this.#isDraining) {
       return 'draining';
@@ -115,10 +115,10 @@
     return this.#isDraining;
   }
 
-  /** What the lead says of the group. */
+  /** The group's health as seen by the lead. */
   health(now: Milliseconds): GroupHealth {
     const missing = [...this.#leases.values()]
-      .filter((lease) => this.#phase !== 'holding' || lease.until <= now)
+      .filter((lease) => this.#phase !== 'holding' || lease.expiresAt <= now)
       .map((lease) => lease.member.host);
     const { name, fencingNumber } = this.#options.group;
     return {
@@ -134,14 +134,15 @@
     if (this.#phase === 'released') {
       return event.type === 'confirmRequested' ? [failConfirmation(event.token)] : [];
     }
-    const effects = [...this.#decide(event), ...this.#settleConfirmations(event.now)];
-    return [...effects, ...this.#noticeHealth(event.now), ...this.#wake()];
+    const effects = [...this.#handleEvent(event), ...this.#settleConfirmations(event.now)];
+    return [...effects, ...this.#reportHealthChange(event.now), ...this.#scheduleWake()];
   }
 
   /**
-   * End of a lease on the lead's clock.
-   * Counted from when the question left, because the member counts from a later moment, and shortened by the
-   * drift margin: the lead stops before the member does, however long question and answer were on their way.
+   * Expiry of a lease on the lead's clock.
+   * It is counted from the send time of the question, because the member counts from the later time of receipt, and
+   * shortened by the drift margin. So the lease expires on the lead before it does on the member, whatever the delays
+   * of question and answer.
    */
   protected leaseEnd(
     sentAt: Milliseconds,
@@ -151,7 +152,7 @@
     return sentAt + duration * (1 - driftMargin);
   }
 
-  #decide(event: LeaseLeadEvent): readonly LeaseLeadEffect[] {
+  #handleEvent(event: LeaseLeadEvent): readonly LeaseLeadEffect[] {
     switch (event.type) {
       case 'started':
         this.#phase = 'holding';
@@ -159,9 +160,9 @@
       case 'ticked':
         return this.#tick(event.now);
       case 'answered':
-        return this.#noteAnswer(event.answer, event.now);
+        return this.#handleAnswer(event.answer, event.now);
       case 'connectionClosed':
-        return this.#noteClosed(event.member, event.now);
+        return this.#handleDisconnect(event.member, event.now);
       case 'drainRequested':
         this.#startDrain();
         return [];
@@ -189,12 +190,12 @@
 
   #askAll(now: Milliseconds): readonly LeaseLeadEffect[] {
     this.#nextRound = now + this.#options.duration / questionsPerLease;
-    this.#confirmations.noteAsked(now);
+    this.#confirmations.recordQuestionsSent(now);
     return [...this.#leases.values()].map((lease) => this.#ask(lease, now));
   }
 
   #ask(lease: HeldLease, now: Milliseconds): LeaseLeadEffect {
-    const sequence = lease.noteAsked(now, this.#options.duration);
+    const sequence = lease.recordQuestion(now, this.#options.duration);
     return { type: 'ask', member: lease.member, question: this.#question(lease, sequence, false) };
   }
 
@@ -212,7 +213,7 @@
     };
   }
 
-  #noteAnswer(answer: LeaseAnswer, now: Milliseconds): readonly LeaseLeadEffect[] {
+  #handleAnswer(answer: LeaseAnswer, now: Milliseconds): readonly LeaseLeadEffect[] {
     const lease = this.#leases.get(answer.member);
     if (lease === undefined || answer.fencingNumber !== this.#options.group.fencingNumber) {
       return [];
@@ -220,18 +221,18 @@
     switch (answer.verdict.type) {
       case 'granted': {
         const { duration, isDraining } = answer.verdict;
-        const sentAt = lease.noteGranted(answer.sequence, answer.memberIncarnation);
+        const sentAt = lease.recordGrant(answer.sequence, answer.memberIncarnation);
         if (sentAt !== undefined) {
           lease.extend(this.leaseEnd(sentAt, now, duration));
         }
-        return isDraining ? this.#noteDrain(answer.member) : [];
+        return isDraining ? this.#handleMemberDrain(answer.member) : [];
       }
       case 'refused':
-        if (!lease.noteRefused(answer.sequence, now, this.#options.duration)) {
+        if (!lease.recordRefusal(answer.sequence, now, this.#options.duration)) {
           return [];
         }
         return answer.verdict.code === 'staleFencingNumber'
-          ? this.#giveWay(answer.member, now)
+          ? this.#yieldToNewer(answer.member, now)
           : [];
       case 'released':
         return [];
@@ -241,18 +242,18 @@
   }
 
   /**
-   * A member serves a newer placement, so this one is over even if control cannot tell its lead.
-   * Without handing the other leases back, the newer placement would wait until they run out.
+   * Ends this placement because a member has a newer one; control may be unable to reach the lead.
+   * Unless the other leases are released, the newer placement has to wait until they expire.
    */
-  #giveWay(member: HostName, now: Milliseconds): readonly LeaseLeadEffect[] {
+  #yieldToNewer(member: HostName, now: Milliseconds): readonly LeaseLeadEffect[] {
     return [{ type: 'superseded', member }, ...this.#release(now)];
   }
 
-  #noteDrain(member: HostName): readonly LeaseLeadEffect[] {
-    if (this.#drainedBy !== undefined) {
+  #handleMemberDrain(member: HostName): readonly LeaseLeadEffect[] {
+    if (this.#drainingMember !== undefined) {
       return [];
     }
-    this.#drainedBy = member;
+    this.#drainingMember = member;
     this.#startDrain();
     return [{ type: 'drainNoted', member }];
   }
@@ -264,8 +265,8 @@
     }
   }
 
-  #noteClosed(member: HostName, now: Milliseconds): readonly LeaseLeadEffect[] {
-    this.#leases.get(member)?.noteClosed(now, this.#options.duration);
+  #handleDisconnect(member: HostName, now: Milliseconds): readonly LeaseLeadEffect[] {
+    this.#leases.get(member)?.recordDisconnect(now, this.#options.duration);
     return [];
   }
 
@@ -277,7 +278,7 @@
       return [];
     }
     return [...this.#leases.values()].map((lease) => {
-      const sequence = lease.noteAsked(now, this.#options.duration);
+      const sequence = lease.recordQuestion(now, this.#options.duration);
       return { type: 'ask', member: lease.member, question: this.#question(lease, sequence, true) };
     });
   }
@@ -296,7 +297,7 @@
     return settled.tokens.map((token) => ({ type: 'confirmed', token, isWhole }));
   }
 
-  #noticeHealth(now: Milliseconds): readonly LeaseLeadEffect[] {
+  #reportHealthChange(now: Milliseconds): readonly LeaseLeadEffect[] {
     const health = this.health(now);
     if (isSameHealth(health, this.#health)) {
       return [];
@@ -305,11 +306,11 @@
     return [{ type: 'healthChanged', health }];
   }
 
-  #wake(): readonly LeaseLeadEffect[] {
+  #scheduleWake(): readonly LeaseLeadEffect[] {
     if (this.#phase !== 'holding') {
       return [];
     }
-    // The end of a lease is an event too: without it control would hear of the loss only with the next round.
+    // Wakes up when a lease expires as well; otherwise control would learn of the loss only at the next round.
     const expiry = this.#health.isServing ? this.wholeUntil() : Infinity;
     const retries = [...this.#leases.values()].map((lease) => lease.retryAt);
     const at = Math.min(this.#nextRound, this.#confirmations.wakeAt, expiry, ...retries);
--- a/src/lease/member.ts
+++ b/src/lease/member.ts
@@ -8,29 +8,29 @@
 import type { LeaseAnswer, LeaseQuestion } from './messages.js';
 
 /**
- * The member's side of the group leases: one for each sidecar.
- * A member never vouches for two groups at once, and only while its own upstream can do the work.
+ * The member's side of the group leases; each sidecar has one.
+ * A member never holds valid grants for two groups at once, and grants only while its own upstream can serve.
  */
 
-/** Longest lease a member grants unless its options say otherwise; also how long it waits after a restart. */
+/** Default of the longest lease a member grants, which is also how long it waits after a restart. */
 export const defaultLongestLease: Milliseconds = 2000;
 
-/** What a member is set up with. */
+/** Options of a lease member. */
 export interface LeaseMemberOptions {
   readonly host: HostName;
   /** New for each start of the sidecar. */
   readonly incarnation: Incarnation;
-  /** A question for more is granted this much; the same on all starts of one host. */
+  /** Longer requested leases are shortened to this; must be the same for all incarnations of one host. */
   readonly longestLease: Milliseconds;
 }
 
-/** What a member is told; `now` is a reading of its own monotonic clock. */
+/** Input events of a member; `now` is a reading of its own monotonic clock. */
 export type LeaseMemberEvent =
   | { readonly type: 'started'; readonly now: Milliseconds }
   | { readonly type: 'asked'; readonly now: Milliseconds; readonly question: LeaseQuestion }
   | { readonly type: 'healthChanged'; readonly now: Milliseconds; readonly isHealthy: boolean }
   | {
-      /** Whether the upstream has loaded what this placement offers; always true for a plain service. */
+      /** Whether the upstream has loaded the artifact of this placement; always true for a plain service. */
       readonly type: 'readinessChanged';
       readonly now: Milliseconds;
       readonly group: GroupName;
@@ -39,19 +39,19 @@
     }
   | { readonly type: 'drainRequested'; readonly now: Milliseconds };
 
-/** What a member wants done. */
+/** Output effects of a member. */
 export interface LeaseMemberEffect {
-  /** Also sent without a question, with the last sequence granted, when health or drain changes. */
+  /** Also sent unsolicited, with the last granted sequence, when health, readiness or drain changes. */
   readonly type: 'answer';
   readonly to: HostName;
   readonly answer: LeaseAnswer;
 }
 
-/** The placement that holds a member. */
+/** The placement that holds a member's lease. */
 export interface LeaseHolder {
   readonly group: GroupName;
   readonly fencingNumber: FencingNumber;
-  /** On the member's clock. */
+  /** Expiry on the member's clock. */
   readonly until: Milliseconds;
 }
 
@@ -69,14 +69,14 @@
   readonly sequence: number;
 }
 
-/** Grants, refuses and takes back leases for one host. */
+/** Grants, refuses and releases leases for one host. */
 export class LeaseMember implements Controller<LeaseMemberEvent, LeaseMemberEffect> {
   readonly #options: LeaseMemberOptions;
   #grants: readonly Grant[] = [];
   #ready: readonly FencingNumber[] = [];
   #highestFencingNumber: FencingNumber = 0;
   #lastRelease: Release | undefined;
-  #waitsUntil: Milliseconds = Infinity;
+  #restartWaitUntil: Milliseconds = Infinity;
   #isHealthy = false;
   #isDraining = false;
 
@@ -84,7 +84,7 @@
     this.#options = options;
   }
 
-  /** The placement whose leads may still count on this member; undefined when nobody may. */
+  /** The placement whose lead may still rely on this member; undefined if there is none. */
   holder(now: Milliseconds): LeaseHolder | undefined {
     const [first, ...others] = this.#grants.filter((grant) => grant.until > now);
     return others.reduce<LeaseHolder | undefined>(
@@ -101,13 +101,13 @@
   handle(event: LeaseMemberEvent): readonly LeaseMemberEffect[] {
     switch (event.type) {
       case 'started':
-        this.#waitsUntil = this.restartWaitEnd(event.now);
+        this.#restartWaitUntil = this.restartWaitEnd(event.now);
         return [];
       case 'asked':
         return [this.#send(event.question, this.#answer(event.question, event.now))];
       case 'healthChanged':
         this.#isHealthy = event.isHealthy;
-        return event.isHealthy ? [] : this.#revoke(event.now, 'engineUnhealthy', () => true);
+        return event.isHealthy ? [] : this.#notifyLeads(event.now, 'engineUnhealthy', () => true);
       case 'readinessChanged':
         return this.#changeReadiness(event);
       case 'drainRequested':
@@ -120,16 +120,16 @@
 
   /**
    * When a restarted member may grant again.
-   * It has forgotten what its last incarnation granted: without the wait it could vouch for a new group while
-   * the lead of an old one still counts on it. One longest lease after the start all of those have run out.
+   * It does not know what its previous incarnation granted. Without the wait it could grant a lease to a new group
+   * while the lead of an old one still relies on it. All earlier leases have expired one longest lease after the start.
    */
   protected restartWaitEnd(now: Milliseconds): Milliseconds {
     return now + this.#options.longestLease;
   }
 
   /**
-   * Whether a lease given to another placement still stands.
-   * Without this check two groups would count on one host for as long as the older lease runs.
+   * Whether a lease granted to another placement is still valid.
+   * Without this check two groups would rely on one host until the older lease expires.
    */
   protected isHeldByOther(question: LeaseQuestion, now: Milliseconds): boolean {
     return this.#grants.some(
@@ -153,10 +153,13 @@
   }
 
   #findRefusal(question: LeaseQuestion, now: Milliseconds): ResultCodeName | undefined {
-    if (question.fencingNumber < this.#highestFencingNumber || this.#isAfterRelease(question)) {
+    if (
+      question.fencingNumber < this.#highestFencingNumber ||
+      this.#wasSentBeforeRelease(question)
+    ) {
       return 'staleFencingNumber';
     }
-    if (now < this.#waitsUntil) {
+    if (now < this.#restartWaitUntil) {
       return 'restartWait';
     }
     if (!this.#isHealthy) {
@@ -166,7 +169,7 @@
     if (this.#isDraining && !isHeld) {
       return 'draining';
     }
-    // From here on the older placement is refused, so that a lead that never hears of its end cannot renew for ever.
+    // Refuses older placements from now on, so that a lead that is never told its placement ended cannot renew forever.
     this.#highestFencingNumber = question.fencingNumber;
     if (this.isHeldByOther(question, now)) {
       return 'leaseHeldElsewhere';
@@ -189,15 +192,15 @@
     this.#grants = [...others, grant];
   }
 
-  /** Only the lead that was granted a lease can hand it back: the release of a former start must not free a newer one. */
+  /** Releases a lease only for the lead that holds it: a release by an earlier incarnation must not end a newer lease. */
   #release(question: LeaseQuestion): void {
     this.#grants = this.#grants.filter((grant) => !isSameLead(grant, question));
     const { lead, leadIncarnation, fencingNumber, sequence } = question;
     this.#lastRelease = { lead, leadIncarnation, fencingNumber, sequence };
   }
 
-  /** A question sent before the release and delivered after it: granting it would block the host for nothing. */
-  #isAfterRelease(question: LeaseQuestion): boolean {
+  /** Whether a question was sent before the release and delivered after it; granting it would block the host needlessly. */
+  #wasSentBeforeRelease(question: LeaseQuestion): boolean {
     const release = this.#lastRelease;
     return (
       release !== undefined && isSameLead(release, question) && question.sequence < release.sequence
@@ -215,17 +218,17 @@
       return [];
     }
     const isOfPlacement = (grant: Grant) => grant.fencingNumber === event.fencingNumber;
-    return this.#revoke(event.now, 'artifactNotLoaded', isOfPlacement);
+    return this.#notifyLeads(event.now, 'artifactNotLoaded', isOfPlacement);
   }
 
-  /** Tells leads at once instead of at their next question; the grant itself stands until it runs out or is handed back. */
-  #revoke(
+  /** Notifies leads at once instead of at their next question; the grant itself is valid until it expires or is released. */
+  #notifyLeads(
     now: Milliseconds,
     code: ResultCodeName,
-    isRevoked: (grant: Grant) => boolean,
+    isAffected: (grant: Grant) => boolean,
   ): readonly LeaseMemberEffect[] {
     return this.#grants
-      .filter((grant) => grant.until > now && isRevoked(grant))
+      .filter((grant) => grant.until > now && isAffected(grant))
       .map((grant) => this.#send(grant, { type: 'refused', code }));
   }
 
--- a/src/lease/messages.ts
+++ b/src/lease/messages.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds, ResultCodeName } from '../common/index.js';
 import type { FencingNumber, GroupName, HostName, Incarnation } from '../model/index.js';
 
-/** A lead asks one member for its lease, or gives it back. */
+/** Sent by a lead to one member to acquire, renew or release its lease. */
 export interface LeaseQuestion {
-  /** Grows for each lead incarnation and member. */
+  /** Increases with each question of a lead incarnation to the member. */
   readonly sequence: number;
   readonly group: GroupName;
   readonly fencingNumber: FencingNumber;
@@ -14,7 +14,7 @@
   readonly isRelease: boolean;
 }
 
-/** A member's answer; names the question it answers. */
+/** A member's answer; `sequence` is that of the question it answers. */
 export interface LeaseAnswer {
   readonly sequence: number;
   readonly group: GroupName;
@@ -28,7 +28,7 @@
 }
 
 /**
- * Share by which the clocks of two hosts may drift apart over one lease: the lead counts its lease this much shorter.
- * Stated bound: 2 parts in 100, far above what a monotonic clock does while it is disciplined.
+ * Maximum relative drift between the clocks of two hosts; the lead shortens its leases by this share.
+ * The stated bound of 2 % is far above the drift of a monotonic clock that is synchronized by a time service.
  */
 export const driftMargin = 0.02;
--- a/src/lease/stream-codecs.ts
+++ b/src/lease/stream-codecs.ts
@@ -11,18 +11,18 @@
 import type { LeaseAnswer, LeaseQuestion } from './messages.js';
 
 /**
- * Lease messages on one stream between a lead and a member.
- * The stream belongs to one placement: names go once, in its first message, and are left empty in the others, which
- * are most of the bytes that leases cost.
+ * Compact encoding of the lease messages on one stream between a lead and a member.
+ * A stream belongs to one placement. Names make up most of the bytes of lease traffic, so they are sent only in the
+ * first message and left empty in later ones, unless they change.
  */
 
-/** Writes the questions of one stream. */
+/** Writes the questions of one stream, omitting unchanged names. */
 export class LeaseQuestionWriter {
   #first: LeaseQuestion | undefined;
 
   write(question: LeaseQuestion): LeaseQuestionMessage {
     const message = encodeLeaseQuestion(question);
-    if (this.#first === undefined || !isSameAsker(this.#first, question)) {
+    if (this.#first === undefined || !hasSameQuestionNames(this.#first, question)) {
       this.#first = question;
       return message;
     }
@@ -30,11 +30,11 @@
   }
 }
 
-/** Reads the questions of one stream. */
+/** Reads the questions of one stream, filling in omitted names. */
 export class LeaseQuestionReader {
   #first: LeaseQuestion | undefined;
 
-  /** Throws for a message without names on a stream that gave none before. */
+  /** Throws if the message omits its names and no earlier message of the stream had them. */
   read(message: LeaseQuestionMessage): LeaseQuestion {
     const question = decodeLeaseQuestion(message);
     if (question.group !== '') {
@@ -42,20 +42,20 @@
       return question;
     }
     if (this.#first === undefined) {
-      throw new Error('a lease stream began without names');
+      throw new Error('lease stream started without names in its first message');
     }
     const { sequence, duration, isRelease } = question;
     return { ...this.#first, sequence, duration, isRelease };
   }
 }
 
-/** Writes the answers of one stream. */
+/** Writes the answers of one stream, omitting unchanged names. */
 export class LeaseAnswerWriter {
   #first: LeaseAnswer | undefined;
 
   write(answer: LeaseAnswer): LeaseAnswerMessage {
     const message = encodeLeaseAnswer(answer);
-    if (this.#first === undefined || !isSameAnswerer(this.#first, answer)) {
+    if (this.#first === undefined || !hasSameAnswerNames(this.#first, answer)) {
       this.#first = answer;
       return message;
     }
@@ -63,11 +63,11 @@
   }
 }
 
-/** Reads the answers of one stream. */
+/** Reads the answers of one stream, filling in omitted names. */
 export class LeaseAnswerReader {
   #first: LeaseAnswer | undefined;
 
-  /** Throws for a message without names on a stream that gave none before. */
+  /** Throws if the message omits its names and no earlier message of the stream had them. */
   read(message: LeaseAnswerMessage): LeaseAnswer {
     const answer = decodeLeaseAnswer(message);
     if (answer.group !== '') {
@@ -75,14 +75,14 @@
       return answer;
     }
     if (this.#first === undefined) {
-      throw new Error('a lease stream began without names');
+      throw new Error('lease stream started without names in its first message');
     }
     const { sequence, verdict } = answer;
     return { ...this.#first, sequence, verdict };
   }
 }
 
-function isSameAsker(left: LeaseQuestion, right: LeaseQuestion): boolean {
+function hasSameQuestionNames(left: LeaseQuestion, right: LeaseQuestion): boolean {
   return (
     left.fencingNumber === right.fencingNumber &&
     left.group === right.group &&
@@ -92,7 +92,7 @@
   );
 }
 
-function isSameAnswerer(left: LeaseAnswer, right: LeaseAnswer): boolean {
+function hasSameAnswerNames(left: LeaseAnswer, right: LeaseAnswer): boolean {
   return (
     left.fencingNumber === right.fencingNumber &&
     left.group === right.group &&
--- a/src/placement/forming.ts
+++ b/src/placement/forming.ts
@@ -10,21 +10,24 @@
   type WorkingPlan,
 } from './working-plan.js';
 
-/** Forms new groups from spares: within a fabric domain first, across them where the policy allows it. */
+/** Forms new groups from spares: within a fabric domain first, then across domains where the policy allows it. */
 
-/** What a declaration has and wants. */
+/** A declaration with the groups that count towards it. */
 export interface Demand {
   readonly declaration: GroupDeclaration;
-  /** Members of its groups, those formed in this decision included. */
+  /** Members of its groups, including those formed in this decision. */
   readonly groups: (readonly PlacementHost[])[];
 }
 
-/** Forms groups within fabric domains until no declaration that wants one more can get it; those with the fewest come first. */
+/**
+ * Forms groups within fabric domains until no declaration can get another.
+ * The declaration with the lowest share of its wanted groups comes first.
+ */
 export function formWithin(plan: WorkingPlan, demands: readonly Demand[]): void {
   formInTurn(plan, demands, (demand) => chooseWithin(plan, demand));
 }
 
-/** Forms groups of what is left in several fabric domains of a region. */
+/** Forms groups that span several fabric domains of a region from the remaining spares. */
 export function formAcross(plan: WorkingPlan, demands: readonly Demand[]): void {
   formInTurn(plan, demands, (demand) => chooseAcross(plan, demand, demands));
 }
@@ -37,7 +40,7 @@
   let open = demands.filter(isMoreWanted);
   while (open.length > 0) {
     const demand = open.reduce((left, right) =>
-      satisfactionOf(right) < satisfactionOf(left) ? right : left,
+      satisfiedShareOf(right) < satisfiedShareOf(left) ? right : left,
     );
     const members = choose(demand);
     const isFormed = members !== undefined && tryForm(plan, demand, members);
@@ -50,10 +53,10 @@
 function tryForm(plan: WorkingPlan, demand: Demand, members: readonly PlacementHost[]): boolean {
   const { declaration } = demand;
   if (!plan.hasLoadBudget(countLoads(members, declaration.carries))) {
-    plan.note({ type: 'loadBudgetSpent', declaration: declaration.name });
+    plan.addNote({ type: 'loadBudgetSpent', declaration: declaration.name });
     return false;
   }
-  const name = plan.nameGroup(declaration.name);
+  const name = plan.nextGroupName(declaration.name);
   plan.place(
     {
       name,
@@ -64,11 +67,14 @@
     members,
   );
   demand.groups.push(members);
-  plan.note({ type: 'formed', group: name });
+  plan.addNote({ type: 'formed', group: name });
   return true;
 }
 
-/** Hosts of the fabric domain that needs the fewest loads; then where the declaration has the fewest groups; then with the most spares. */
+/**
+ * Chooses hosts of one fabric domain: the one that needs the fewest loads; then the one whose failure domain has the
+ * fewest groups of the declaration; then the one with the most spares.
+ */
 function chooseWithin(plan: WorkingPlan, demand: Demand): readonly PlacementHost[] | undefined {
   const { declaration } = demand;
   const size = declaration.replicaSize;
@@ -92,7 +98,7 @@
   return choices[0]?.members;
 }
 
-/** Hosts of one region, of the fewest fabric domains, where that is worth the spares it takes. */
+/** Chooses hosts of one region, from as few fabric domains as possible, if that is worth the spares it uses. */
 function chooseAcross(
   plan: WorkingPlan,
   demand: Demand,
@@ -113,7 +119,7 @@
     if (isWorthForming(members, domains, hostsInGroups, policy, plan.input.estimates)) {
       return members;
     }
-    plan.note({ type: 'heldBackAsSpares', declaration: declaration.name });
+    plan.addNote({ type: 'heldBackAsSpares', declaration: declaration.name });
   }
   return undefined;
 }
@@ -143,8 +149,8 @@
   return declaration.replicas === undefined || groups.length < declaration.replicas;
 }
 
-/** Share of the wanted groups that is there; without a number, a group more always helps a little less. */
-function satisfactionOf({ declaration, groups }: Demand): number {
+/** Share of the wanted groups that exist; without a replica count, each further group raises the share by less. */
+function satisfiedShareOf({ declaration, groups }: Demand): number {
   return declaration.replicas === undefined
     ? groups.length / (groups.length + 1)
     : groups.length / Math.max(1, declaration.replicas);
--- a/src/placement/host-facts.ts
+++ b/src/placement/host-facts.ts
@@ -7,14 +7,12 @@
 } from '../model/index.js';
 import type { PlacementHost } from './types.js';
 
-/** Questions about one host. */
-
-/** Whether the host can work now: there, not held back, its upstream well. */
+/** Whether the host can serve now: present, not quarantined, and with a healthy upstream. */
 export function isUsable(host: PlacementHost): boolean {
   return host.availability.type === 'present' && host.facts.isHealthy;
 }
 
-/** Whether operators want the host in groups of the declaration. */
+/** Whether the declaration selects the host for its groups. */
 export function isMeantFor(host: PlacementHost, declaration: GroupDeclaration): boolean {
   return (
     host.facts.upstream?.type === 'engine' &&
@@ -24,9 +22,9 @@
 }
 
 /**
- * Whether operators still want a host in the group that it is placed in.
- * A sidecar that restarted reports before its upstream has announced itself again; taking that for another kind of
- * upstream would drain a group that nobody wants changed.
+ * Whether the declaration still selects a host that is already placed in one of its groups.
+ * A restarted sidecar reports before its upstream has announced itself again. Treating the missing upstream as a
+ * different kind of upstream would drain a group although the configuration has not changed.
  */
 export function isStillMeantFor(host: PlacementHost, declaration: GroupDeclaration): boolean {
   const { upstream, isDraining, labels } = host.facts;
@@ -45,12 +43,12 @@
   return offer.type === 'service' || hasLoaded(host, offer.artifact);
 }
 
-/** Key of the fabric domain; names of fabric domains may repeat in another region. */
+/** Unique key of the fabric domain; fabric domain names may repeat across regions. */
 export function fabricDomainOf(host: PlacementHost): string {
   return `${host.facts.region}/${host.facts.fabricDomain}`;
 }
 
-/** Key of the failure domain. */
+/** Unique key of the failure domain. */
 export function failureDomainOf(host: PlacementHost): string {
   return `${host.facts.region}/${host.facts.failureDomain}`;
 }
--- a/src/placement/index.ts
+++ b/src/placement/index.ts
@@ -1,4 +1,4 @@
-export { acrossFabricValue } from './cost.js';
+export { crossFabricValue } from './cost.js';
 export { isUsable } from './host-facts.js';
 export { planPlacement } from './plan.js';
 export type {
--- a/src/placement/inspection.ts
+++ b/src/placement/inspection.ts
@@ -9,28 +9,28 @@
 import { hasLoaded, isStillMeantFor, isUsable } from './host-facts.js';
 import type { PlacedGroup, PlacementHost } from './types.js';
 
-/** What a placed group is in, before anything is decided about it. */
+/** The condition of a placed group, determined before any decision about it. */
 export type GroupCondition =
-  /** Serves, or is on its way there with all its members. */
+  /** Serving, or starting up with all its members. */
   | { readonly type: 'kept' }
-  /** Some members cannot work; the others could. */
+  /** Some members are unusable; the others could still serve. */
   | BrokenCondition
-  /** Whole or not, operators want it otherwise: its members, artifact or size no longer match. */
+  /** No longer matches its declaration in members, artifact or size, whether or not it is complete. */
   | { readonly type: 'unwanted'; readonly hasDeclaration: boolean }
-  /** Draining, with attempts that have not ended. */
+  /** Draining, with attempts still in flight. */
   | { readonly type: 'draining' }
-  /** Nothing is left in it that could be cut off. */
-  | { readonly type: 'over' };
+  /** Has no attempts left that dissolving it could interrupt. */
+  | { readonly type: 'finished' };
 
-/** A group that lacks members. */
+/** A group with missing members. */
 export interface BrokenCondition {
   readonly type: 'broken';
   readonly survivors: readonly PlacementHost[];
-  /** Expected time until all its lost members are back; infinite when one is gone. */
+  /** Expected time until all its lost members are back; infinite if one of them is gone for good. */
   readonly expectedReturn: Milliseconds;
 }
 
-/** Says what each placed group of a model is in. */
+/** Determines the condition of a placed model group. */
 export function inspectGroup(
   placed: PlacedGroup,
   declaration: GroupDeclaration | undefined,
@@ -39,26 +39,26 @@
   const { group, health } = placed;
   const members = group.members.map((member) => hosts.get(member.host));
   const lead = hosts.get(findLead(group).host);
-  const isLeadHeard = lead !== undefined && isHeard(lead);
-  if (isLeadHeard && health?.isDrained === true) {
-    return { type: 'over' };
+  const isLeadReporting = lead !== undefined && isReporting(lead);
+  if (isLeadReporting && health?.isDrained === true) {
+    return { type: 'finished' };
   }
   if (group.isDraining) {
-    return isLost(lead) || hasRestarted(lead, group) ? { type: 'over' } : { type: 'draining' };
+    return isLost(lead) || hasRestarted(lead, group) ? { type: 'finished' } : { type: 'draining' };
   }
-  if (declaration === undefined || !isWanted(group, declaration, members)) {
+  if (declaration === undefined || !matchesDeclaration(group, declaration, members)) {
     return { type: 'unwanted', hasDeclaration: declaration !== undefined };
   }
-  // A group whose lead says it serves is whole, even if control hears nothing of some member.
-  if (isLeadHeard && health?.isServing === true) {
+  // The lead's report takes precedence: a serving group is complete even if control gets no reports from a member.
+  if (isLeadReporting && health?.isServing === true) {
     return { type: 'kept' };
   }
   const condition = inspectMembers(members);
-  return condition.type === 'kept' ? inspectReach(placed, declaration, members) : condition;
+  return condition.type === 'kept' ? inspectConnectivity(placed, declaration, members) : condition;
 }
 
-/** Whether the members, artifact and size of a group are still what the declaration asks for. */
-function isWanted(
+/** Whether the members, artifact and size of a group still match its declaration. */
+function matchesDeclaration(
   group: Group,
   declaration: GroupDeclaration,
   members: readonly (PlacementHost | undefined)[],
@@ -77,14 +77,15 @@
   if (survivors.length === members.length) {
     return { type: 'kept' };
   }
-  return { type: 'broken', survivors, expectedReturn: Math.max(...members.map(expectReturn)) };
+  return { type: 'broken', survivors, expectedReturn: Math.max(...members.map(estimateReturn)) };
 }
 
 /**
- * A group may lack members that control hears well: a cut between them, which no report of a host shows.
- * What has lasted so long is expected to last as long again, so a replacement comes as soon as it would be ready by then.
+ * Detects members that report to control but cannot be reached by their lead: a network partition between members,
+ * which no host report shows. The outage is expected to last as long again as it has lasted so far, so a member is
+ * replaced once a replacement would be ready within that time.
  */
-function inspectReach(
+function inspectConnectivity(
   { group, health, incompleteFor }: PlacedGroup,
   declaration: GroupDeclaration,
   members: readonly (PlacementHost | undefined)[],
@@ -92,7 +93,7 @@
   const present = members.filter((host) => host !== undefined);
   const missing = present.filter((host) => health?.missing.includes(host.facts.host));
   const isLoading = missing.some((host) => !hasLoaded(host, declaration.carries));
-  if (incompleteFor < unreachableAfter || missing.length === 0 || isLoading) {
+  if (incompleteFor < unreachableThreshold || missing.length === 0 || isLoading) {
     return { type: 'kept' };
   }
   const lead = present[0];
@@ -106,11 +107,11 @@
     : { type: 'broken', survivors, expectedReturn: incompleteFor };
 }
 
-/** Longer than any wait for a lease or after a restart. */
-const unreachableAfter: Milliseconds = 5000;
+/** Longer than any wait for a lease to expire or after a restart. */
+const unreachableThreshold: Milliseconds = 5000;
 
-/** Expected time until a member can work again; 0 for one that can. */
-function expectReturn(host: PlacementHost | undefined): Milliseconds {
+/** Expected time until a member is usable again; 0 if it is usable now. */
+function estimateReturn(host: PlacementHost | undefined): Milliseconds {
   if (host === undefined) {
     return Infinity;
   }
@@ -119,7 +120,7 @@
     case 'suspected':
       return availability.expectedReturn;
     case 'quarantined':
-      // The host works: dissolving its group for it would strand the others for the whole hold-back.
+      // The host itself works: dissolving its group would leave the other members idle for the whole quarantine.
       return availability.expectedReturn;
     case 'present':
       return isUsable(host) ? 0 : Infinity;
@@ -130,11 +131,11 @@
   }
 }
 
-function isHeard(host: PlacementHost): boolean {
+function isReporting(host: PlacementHost): boolean {
   return host.availability.type === 'present' || host.availability.type === 'quarantined';
 }
 
-/** What a former start of the lead had in flight ended with it, and no later start will say that the drain is over. */
+/** The attempts of the lead's previous incarnation ended with it, and no later incarnation will report the drain as finished. */
 function hasRestarted(lead: PlacementHost | undefined, group: Group): boolean {
   return lead !== undefined && lead.facts.incarnation !== findLead(group).incarnation;
 }
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -19,20 +19,21 @@
 
 /**
  * Decides which hosts form which groups.
- * Order: what is over or unwanted goes, broken groups are repaired or merged, new ones are formed from what is left.
- * A whole group that operators still want is never touched.
+ * Finished groups are dissolved first, then broken groups are repaired or merged, then new groups are formed from the
+ * remaining hosts, and last, groups that no longer match their declaration are drained.
+ * A complete group that still matches its declaration is never changed.
  */
 export function planPlacement(input: PlacementInput): PlacementDecision {
-  const plan = new WorkingPlan(dropOldHealth(input));
+  const plan = new WorkingPlan(dropStaleHealth(input));
   placeServices(plan);
   const inspected = inspectModelGroups(plan);
   for (const { placed, condition } of inspected) {
-    if (condition.type === 'over') {
+    if (condition.type === 'finished') {
       plan.dissolve(placed.group.name);
     }
   }
-  for (const one of inspected.filter(isKept)) {
-    refreshKept(plan, one);
+  for (const kept of inspected.filter(isKept)) {
+    refreshMembers(plan, kept);
   }
   const stillBroken = repairBroken(plan, inspected);
   dissolveLost(plan, stillBroken);
@@ -70,10 +71,10 @@
 }
 
 /**
- * A group on its way to serve takes loaded spares for members that still load, and what its members are now:
- * a member reached at an old address, or a lead named by an earlier start, would never serve.
+ * Updates a group that is not serving yet: renews outdated addresses and lead incarnations, and replaces loading members
+ * by loaded spares. With a member at an old address, or a lead under an earlier incarnation, it would never serve.
  */
-function refreshKept(plan: WorkingPlan, { placed, declaration }: InspectedGroup): void {
+function refreshMembers(plan: WorkingPlan, { placed, declaration }: InspectedGroup): void {
   const { group, health } = placed;
   if (health?.isServing === true || declaration === undefined) {
     return;
@@ -86,13 +87,13 @@
   if (hasMoved || hasNewLead) {
     const { name, offer } = group;
     plan.place({ name, declaration: declaration.name, members: hosts.map(toMember), offer }, hosts);
-    plan.note({ type: 'renewed', group: name });
+    plan.addNote({ type: 'renewed', group: name });
     return;
   }
   swapLoadingMembers(plan, group, declaration);
 }
 
-/** Repairs, then merges; a control host that suspects itself acts on no loss. */
+/** Repairs, then merges broken groups; does nothing while control suspects that it is isolated itself. */
 function repairBroken(
   plan: WorkingPlan,
   inspected: readonly InspectedGroup[],
@@ -108,7 +109,7 @@
   return mergeGroups(plan, repairGroups(plan, broken));
 }
 
-/** Groups that nothing in their own fabric domain could bring back, as far as they are still wanted. */
+/** Repairs groups with hosts of other fabric domains, for declarations that still need more groups. */
 function repairAcrossDomains(
   plan: WorkingPlan,
   demands: readonly Demand[],
@@ -130,7 +131,7 @@
   }
 }
 
-/** Groups that count towards what a declaration wants: kept, repaired, or worth waiting for. */
+/** Collects the groups that count towards each declaration: kept, repaired, or waiting for a member to return. */
 function countDemands(
   plan: WorkingPlan,
   inspected: readonly InspectedGroup[],
@@ -140,13 +141,10 @@
   return plan.input.configuration.groups.map((declaration) => {
     const groups = inspected
       .filter(({ placed, condition }) => {
-        const isStanding = condition.type === 'kept' || condition.type === 'broken';
+        const isActive = condition.type === 'kept' || condition.type === 'broken';
         const isOwn = placed.group.declaration === declaration.name;
         return (
-          isOwn &&
-          isStanding &&
-          !lost.has(placed.group.name) &&
-          !plan.isDissolved(placed.group.name)
+          isOwn && isActive && !lost.has(placed.group.name) && !plan.isDissolved(placed.group.name)
         );
       })
       .map(({ placed }) => findMembers(plan, placed.group));
@@ -155,20 +153,20 @@
 }
 
 /**
- * Dissolves groups that a member will not come back to.
- * What is left of them are spares for any declaration; when the lost host returns after all, they form again without a load.
+ * Dissolves groups with a member that is not expected back.
+ * The survivors become spares for any declaration. If the lost host does return, the group can form again without loading.
  */
 function dissolveLost(plan: WorkingPlan, stillBroken: readonly BrokenGroup[]): void {
   for (const { group, condition } of stillBroken) {
     if (condition.expectedReturn < Infinity || plan.input.isWatcherSuspected) {
-      plan.note({ type: 'noSpare', group: group.name });
+      plan.addNote({ type: 'noSpare', group: group.name });
     } else {
       plan.dissolve(group.name);
     }
   }
 }
 
-/** Dissolves broken groups once others have taken their place. */
+/** Dissolves broken groups once enough other groups have replaced them. */
 function dissolveReplaced(
   plan: WorkingPlan,
   demands: readonly Demand[],
@@ -187,9 +185,9 @@
 }
 
 /**
- * Drains what operators no longer want, a few groups at a time.
- * A group that is only to be exchanged (new artifact, other hosts) serves on until the groups that replace others
- * serve, so that a change of configuration does not take all groups of a declaration down at once.
+ * Drains groups that no longer match their declaration, a few at a time.
+ * A group that is only being replaced (new artifact, other hosts) keeps serving until earlier replacements serve,
+ * so that a configuration change does not take down all groups of a declaration at once.
  */
 function drainUnwanted(plan: WorkingPlan, inspected: readonly InspectedGroup[]): void {
   for (const { placed, declaration, condition } of inspected) {
@@ -198,7 +196,7 @@
     }
     const isUrgent =
       declaration === undefined || !isServing(placed) || hasLeavingMember(plan, placed.group);
-    const limit = limitTransition(plan, declaration?.replicaSize ?? 1);
+    const limit = transitionLimit(plan, declaration?.replicaSize ?? 1);
     if (isUrgent || countInTransition(plan, inspected, placed.group.declaration) < limit) {
       plan.drain(placed.group);
     }
@@ -206,10 +204,10 @@
 }
 
 /**
- * How many groups of a declaration may be exchanged at once.
- * One at a time costs the least downtime, and leaves the hosts of an old group idle longest where they are wanted elsewhere.
+ * How many groups of a declaration may be replaced at once.
+ * One at a time costs the least downtime, but hosts of old groups that are wanted elsewhere stay unavailable the longest.
  */
-function limitTransition(plan: WorkingPlan, replicaSize: number): number {
+function transitionLimit(plan: WorkingPlan, replicaSize: number): number {
   const { policy } = plan.input.configuration;
   if (policy.groupDowntimeWeight >= policy.strandedAcceleratorWeight * replicaSize) {
     return 1;
@@ -217,7 +215,7 @@
   return Math.max(1, Math.floor(policy.concurrentLoads / replicaSize));
 }
 
-/** Groups of a declaration that are draining or do not serve yet. */
+/** Number of groups of a declaration that are draining or not serving yet. */
 function countInTransition(
   plan: WorkingPlan,
   inspected: readonly InspectedGroup[],
@@ -233,8 +231,8 @@
   return present.length + plan.countFormed(declaration, names);
 }
 
-/** What a lead said of a former placement says nothing of the present one. */
-function dropOldHealth(input: PlacementInput): PlacementInput {
+/** Drops health reports that refer to an earlier placement of the group. */
+function dropStaleHealth(input: PlacementInput): PlacementInput {
   const groups = input.groups.map(({ group, health, incompleteFor }) => ({
     group,
     incompleteFor,
--- a/src/placement/repair.ts
+++ b/src/placement/repair.ts
@@ -11,9 +11,9 @@
   type WorkingPlan,
 } from './working-plan.js';
 
-/** Brings broken groups back: by spares of their fabric domain, by merging them, at last by spares of other fabric domains. */
+/** Repairs broken groups: with spares of their fabric domain, then by merging them, finally with spares of other fabric domains. */
 
-/** A broken group and what its declaration wants. */
+/** A broken group with its declaration. */
 export interface BrokenGroup {
   readonly group: Group;
   readonly declaration: GroupDeclaration;
@@ -21,23 +21,25 @@
 }
 
 /**
- * Repairs what spares can repair and returns the groups that are still broken.
- * A broken group across fabric domains is given up first where one within a domain can be formed instead.
- * Groups that lack the fewest members come first: so the same spares bring back the most groups.
+ * Repairs groups with spares of their fabric domain and returns those that are still broken.
+ * First dissolves broken groups that span fabric domains where a group within one domain can be formed instead.
+ * Groups that miss the fewest members are repaired first, so that the available spares restore the most groups.
  */
 export function repairGroups(
   plan: WorkingPlan,
   broken: readonly BrokenGroup[],
 ): readonly BrokenGroup[] {
-  const apart = broken.filter((candidate) => isSpread(candidate) && !isBackSoon(plan, candidate));
-  const left = freeForForming(plan, apart);
+  const spanning = broken.filter(
+    (candidate) => spansFabricDomains(candidate) && !isReturnExpectedSooner(plan, candidate),
+  );
+  const left = dissolveForNewGroups(plan, spanning);
   return broken
-    .filter((candidate) => !apart.includes(candidate) || left.includes(candidate))
+    .filter((candidate) => !spanning.includes(candidate) || left.includes(candidate))
     .sort(compareBroken)
     .filter((candidate) => !tryRepair(plan, candidate, 'fabricDomain'));
 }
 
-/** Repairs with spares of other fabric domains of the region; only what nothing better could be done for. */
+/** Repairs with spares of any fabric domain of the region; the last resort, after repair and merging within a domain. */
 export function repairAcross(
   plan: WorkingPlan,
   broken: readonly BrokenGroup[],
@@ -48,8 +50,9 @@
 }
 
 /**
- * Merges groups that spares cannot repair, within one declaration and each within a fabric domain, and returns what is left.
- * The groups that lack the most members give theirs to those that lack the fewest.
+ * Merges groups that spares cannot repair and returns those that are still broken.
+ * Groups are merged only within one declaration and one fabric domain; those that miss the most members give theirs
+ * to those that miss the fewest.
  */
 export function mergeGroups(
   plan: WorkingPlan,
@@ -63,7 +66,7 @@
   return [...pools.values()].flatMap((pool) => mergePool(plan, [...pool].sort(compareBroken)));
 }
 
-/** Where waiting for the lost members beats any replacement, the group is left as it is. */
+/** Whether the lost members are expected back before a replacement would serve; such a group is left unchanged. */
 export function isWorthWaiting(
   expectedReturn: Milliseconds,
   loads: number,
@@ -73,80 +76,86 @@
   return expectedReturn <= estimates.handover + loading;
 }
 
-/** Whether the lost members are expected back before what is left of the group would have loaded elsewhere. */
-function isBackSoon(plan: WorkingPlan, { condition, declaration }: BrokenGroup): boolean {
+/** Whether the lost members are expected back before the surviving members would have loaded and served in another group. */
+function isReturnExpectedSooner(
+  plan: WorkingPlan,
+  { condition, declaration }: BrokenGroup,
+): boolean {
   const loads = countLoads(condition.survivors, declaration.carries);
   return isWorthWaiting(condition.expectedReturn, loads, plan.input.estimates);
 }
 
-function isSpread({ condition }: BrokenGroup): boolean {
+function spansFabricDomains({ condition }: BrokenGroup): boolean {
   return groupByFabricDomain(condition.survivors).size > 1;
 }
 
-function tryRepair(plan: WorkingPlan, broken: BrokenGroup, reach: Reach): boolean {
+function tryRepair(plan: WorkingPlan, broken: BrokenGroup, scope: ReplacementScope): boolean {
   const { declaration, condition, group } = broken;
   const missing = declaration.replicaSize - condition.survivors.length;
-  const replacements = chooseReplacements(plan, broken, missing, reach);
+  const replacements = chooseReplacements(plan, broken, missing, scope);
   if (condition.survivors.length === 0 || replacements === undefined) {
     return false;
   }
   const members = [...condition.survivors, ...replacements];
   const loads = countLoads(members, declaration.carries);
   if (isWorthWaiting(condition.expectedReturn, loads, plan.input.estimates)) {
-    plan.note({ type: 'waitingForReturn', group: group.name });
+    plan.addNote({ type: 'waitingForReturn', group: group.name });
     return true;
   }
   if (!plan.hasLoadBudget(countLoads(replacements, declaration.carries))) {
-    plan.note({ type: 'loadBudgetSpent', declaration: declaration.name });
+    plan.addNote({ type: 'loadBudgetSpent', declaration: declaration.name });
     return true;
   }
   placeMembers(plan, broken, members);
-  plan.note({ type: 'repaired', group: group.name });
+  plan.addNote({ type: 'repaired', group: group.name });
   return true;
 }
 
-/** Where replacements may come from. */
-type Reach = 'fabricDomain' | 'region';
+/** Where replacement hosts may come from. */
+type ReplacementScope = 'fabricDomain' | 'region';
 
-/** Spares of the fabric domain of the survivors first; then of their region, as far as the reach goes. */
+/** Chooses spares of the survivors' fabric domain first, then, if the scope allows, of their region. */
 function chooseReplacements(
   plan: WorkingPlan,
   { declaration, condition }: BrokenGroup,
   missing: number,
-  reach: Reach,
+  scope: ReplacementScope,
 ): readonly PlacementHost[] | undefined {
   const { survivors } = condition;
-  const home = homeOf(survivors);
+  const home = mainFabricDomainOf(survivors);
   const region = survivors[0]?.facts.region;
   const spares = plan.findSpares(declaration).filter((host) => !survivors.includes(host));
   const near = spares.filter((host) => fabricDomainOf(host) === home);
   const far = spares.filter((host) => !near.includes(host) && host.facts.region === region);
-  const candidates = reach === 'region' ? [...near, ...far] : near;
+  const candidates = scope === 'region' ? [...near, ...far] : near;
   return candidates.length < missing ? undefined : candidates.slice(0, missing);
 }
 
-/** `pool` is ordered: those that lack the fewest members first. */
+/** `pool` is sorted: groups that miss the fewest members come first. */
 function mergePool(plan: WorkingPlan, pool: readonly BrokenGroup[]): readonly BrokenGroup[] {
-  const able = pool.filter((candidate) => !isBackSoon(plan, candidate));
-  const left = pool.filter((candidate) => !able.includes(candidate));
+  const replaceable = pool.filter((candidate) => !isReturnExpectedSooner(plan, candidate));
+  const left = pool.filter((candidate) => !replaceable.includes(candidate));
   for (const { group } of left) {
-    plan.note({ type: 'waitingForReturn', group: group.name });
+    plan.addNote({ type: 'waitingForReturn', group: group.name });
   }
-  const targets = [...able];
+  const targets = [...replaceable];
   const unmerged: BrokenGroup[] = [];
   for (let target = targets.shift(); target !== undefined; target = targets.shift()) {
     if (!mergeInto(plan, target, targets)) {
       unmerged.push(target);
     }
   }
-  return [...left, ...freeForForming(plan, unmerged)];
+  return [...left, ...dissolveForNewGroups(plan, unmerged)];
 }
 
 /**
- * Dissolves groups whose members, with the spares of some fabric domain, suffice for a new group there.
- * Groups across fabric domains need it: what is left of one may be worth more in a domain that is not its own.
+ * Dissolves groups whose survivors in some fabric domain, together with its spares, suffice for a new group there.
+ * This is for groups that span fabric domains: their survivors may complete a group in a domain other than their main one.
  */
-function freeForForming(plan: WorkingPlan, broken: readonly BrokenGroup[]): readonly BrokenGroup[] {
+function dissolveForNewGroups(
+  plan: WorkingPlan,
+  broken: readonly BrokenGroup[],
+): readonly BrokenGroup[] {
   let left = broken;
   const domains = new Set(
     broken.flatMap(({ condition }) => condition.survivors.map(fabricDomainOf)),
@@ -161,7 +170,7 @@
   return left;
 }
 
-/** The fewest groups that make up what the spares of the domain lack; none when all of them are not enough. */
+/** Takes groups in order until they supply the hosts that the domain's spares lack; none if all of them are not enough. */
 function chooseContributors(
   plan: WorkingPlan,
   broken: readonly BrokenGroup[],
@@ -186,11 +195,11 @@
   return available < wanted ? [] : chosen;
 }
 
-/** Completes one group with spares and the members of donors in its fabric domain; donors are taken from the end of the list. */
+/** Completes one group with spares and members of donor groups in its fabric domain; donors are taken from the end of the list. */
 function mergeInto(plan: WorkingPlan, target: BrokenGroup, others: BrokenGroup[]): boolean {
   const { declaration, condition } = target;
   const missing = declaration.replicaSize - condition.survivors.length;
-  const home = homeOf(condition.survivors);
+  const home = mainFabricDomainOf(condition.survivors);
   const isNear = (host: PlacementHost) =>
     fabricDomainOf(host) === home && !condition.survivors.includes(host);
   let available = plan.findSpares(declaration).filter(isNear).length;
@@ -211,14 +220,14 @@
   }
   const joining = plan.findSpares(declaration).filter(isNear).slice(0, missing);
   placeMembers(plan, target, [...condition.survivors, ...joining]);
-  plan.note({ type: 'merged', group: target.group.name });
+  plan.addNote({ type: 'merged', group: target.group.name });
   return true;
 }
 
 /**
- * Gives a group that is loading its place back to a spare that has loaded already.
- * A lost host whose place a spare took may return with its weights while the spare still loads: whichever is
- * ready first serves.
+ * Replaces members that are still loading by spares that have already loaded.
+ * A lost host may return with its weights loaded while the spare that replaced it is still loading; whichever is
+ * ready first is used.
  */
 export function swapLoadingMembers(
   plan: WorkingPlan,
@@ -227,7 +236,7 @@
 ): void {
   const members = group.members.map((member) => plan.hosts.get(member.host));
   const present = members.filter((host) => host !== undefined);
-  const home = homeOf(present);
+  const home = mainFabricDomainOf(present);
   const loaded = plan
     .findSpares(declaration)
     .filter((host) => hasLoaded(host, declaration.carries) && fabricDomainOf(host) === home);
@@ -241,7 +250,7 @@
     ...kept,
     ...loaded.slice(0, loading.length),
   ]);
-  plan.note({ type: 'repaired', group: group.name });
+  plan.addNote({ type: 'repaired', group: group.name });
 }
 
 function placeMembers(
@@ -260,8 +269,8 @@
   );
 }
 
-/** The fabric domain that most of the hosts are in. */
-function homeOf(hosts: readonly PlacementHost[]): string | undefined {
+/** The fabric domain that contains most of the hosts. */
+function mainFabricDomainOf(hosts: readonly PlacementHost[]): string | undefined {
   const domains = [...groupByFabricDomain(hosts)];
   domains.sort(
     ([leftName, left], [rightName, right]) =>
--- a/src/placement/services.ts
+++ b/src/placement/services.ts
@@ -3,20 +3,20 @@
 import type { PlacementHost } from './types.js';
 import { toMember, type WorkingPlan } from './working-plan.js';
 
-/** Plain services: each upstream is a group of one host. */
+/** Placement of plain services: each upstream forms a group of one host. */
 
-/** Places upstreams that are in no group, and drains or dissolves those that are no longer wanted. */
+/** Places upstreams that are in no group, and drains or dissolves groups that are no longer declared. */
 export function placeServices(plan: WorkingPlan): void {
   const declarations = new Map(
     plan.input.configuration.services.map((declaration) => [declaration.name, declaration]),
   );
   reviewServices(plan, declarations);
-  for (const host of plan.findFree()) {
+  for (const host of plan.listFreeHosts()) {
     const { upstream } = host.facts;
     const declaration =
       upstream?.type === 'service' ? declarations.get(upstream.service) : undefined;
     if (declaration !== undefined && isOffering(host, declaration)) {
-      const name = plan.nameGroup(declaration.name);
+      const name = plan.nextGroupName(declaration.name);
       plan.place(
         {
           name,
@@ -26,7 +26,7 @@
         },
         [host],
       );
-      plan.note({ type: 'formed', group: name });
+      plan.addNote({ type: 'formed', group: name });
     }
   }
 }
@@ -44,16 +44,16 @@
     if (host === undefined || host.availability.type === 'gone' || health?.isDrained === true) {
       plan.dissolve(group.name);
     } else if (group.isDraining) {
-      // What a former start had in flight ended with it, and no later start will say that the drain is over.
-      if (hasMoved(host, group)) {
+      // The attempts of the previous incarnation ended with it, and no later one will report the drain as finished.
+      if (isPlacementOutdated(host, group)) {
         plan.dissolve(group.name);
       }
     } else if (declaration === undefined || !isStillOffering(host, declaration)) {
       plan.drain(group);
-    } else if (hasMoved(host, group) && isUsable(host)) {
+    } else if (isPlacementOutdated(host, group) && isUsable(host)) {
       const { name, declaration: declarationName, offer } = group;
       plan.place({ name, declaration: declarationName, members: [toMember(host)], offer }, [host]);
-      plan.note({ type: 'renewed', group: name });
+      plan.addNote({ type: 'renewed', group: name });
     }
   }
 }
@@ -64,7 +64,7 @@
   return isOffered && !isDraining && isSelected(labels, declaration.hosts);
 }
 
-/** A sidecar that restarted reports before its upstream has announced itself again; that is no change of what it offers. */
+/** A restarted sidecar reports before its upstream has announced itself again, so a missing upstream does not count as a change. */
 function isStillOffering(host: PlacementHost, declaration: ServiceDeclaration): boolean {
   const { upstream, isDraining, labels } = host.facts;
   if (upstream !== undefined) {
@@ -73,8 +73,8 @@
   return !isDraining && isSelected(labels, declaration.hosts);
 }
 
-/** A restarted sidecar leads under its new incarnation only. */
-function hasMoved({ facts }: PlacementHost, group: Group): boolean {
+/** Whether the host has a new address or incarnation; a restarted sidecar leads under its new incarnation only. */
+function isPlacementOutdated({ facts }: PlacementHost, group: Group): boolean {
   const lead = findLead(group);
   return facts.address !== lead.address || facts.incarnation !== lead.incarnation;
 }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -9,75 +9,75 @@
   HostFacts,
 } from '../model/index.js';
 
-/** What control knows of whether a host is there. */
+/** Availability of a host as known to control. */
 export type HostAvailability =
   | { readonly type: 'present' }
-  /** Silent, or there without a working upstream; may be back after the time expected. */
+  /** Not reporting, or reporting without a working upstream; expected back after `expectedReturn`. */
   | { readonly type: 'suspected'; readonly expectedReturn: Milliseconds }
   | { readonly type: 'gone' }
   /**
-   * There, but held back because it comes and goes or lags behind: not taken into a group until the time expected.
-   * A group it already belongs to may go on with it.
+   * Present, but unstable or lagging: not added to a group until `expectedReturn` has passed.
+   * A group that already contains the host may keep it.
    */
   | { readonly type: 'quarantined'; readonly expectedReturn: Milliseconds };
 
-/** A host as placement sees it. */
+/** A host as input to placement. */
 export interface PlacementHost {
-  /** Labels and drain as operators have set them in control, not as the host announced them. */
+  /** Labels and drain state are those that operators have set in control, not those that the host announced. */
   readonly facts: HostFacts;
   readonly availability: HostAvailability;
 }
 
-/** A placed group as placement sees it. */
+/** A placed group as input to placement. */
 export interface PlacedGroup {
   readonly group: Group;
-  /** The lead's last word of this placement; undefined before the first. */
+  /** The lead's latest health report for this placement; undefined before the first. */
   readonly health: GroupHealth | undefined;
-  /** How long the lead has been missing members of this placement; 0 while it misses none. */
+  /** How long the lead has reported members of this placement as missing; 0 if none is missing. */
   readonly incompleteFor: Milliseconds;
 }
 
-/** Durations and rates that decisions weigh; measured by control while it runs. */
+/** Estimated durations and rates that decisions are based on; measured by control at run time. */
 export interface PlacementEstimates {
-  /** Time in which a host loads an artifact. */
+  /** Time a host takes to load an artifact. */
   readonly loadDuration: Milliseconds;
-  /** Time from a new placement to a whole group when all is loaded. */
+  /** Time from a new placement until the group is whole, if all its hosts have loaded. */
   readonly handover: Milliseconds;
-  /** Share of time in which a host is not usable. */
+  /** Share of time during which a host is unusable. */
   readonly hostUnavailability: number;
 }
 
-/** All that a decision depends on. */
+/** Everything that a placement decision depends on. */
 export interface PlacementInput {
   readonly configuration: Configuration;
   readonly hosts: readonly PlacementHost[];
   readonly groups: readonly PlacedGroup[];
   readonly estimates: PlacementEstimates;
-  /** Control suspects itself of being cut off: hosts that seem lost are not acted upon. */
+  /** Whether control suspects that it is isolated from the network itself; broken groups are then left unchanged. */
   readonly isWatcherSuspected: boolean;
 }
 
-/** Loads of weights against what the weight store takes at once. */
+/** Use of the weight store's limit on concurrent loads. */
 export interface LoadBudget {
   readonly limit: number;
-  /** Loads that placed hosts had not ended when the decision was made. */
+  /** Loads of placed hosts that were unfinished when the decision was made. */
   readonly running: number;
   /** Loads that this decision starts. */
   readonly started: number;
 }
 
-/** Why something was done or left, for logs and `get groups`. */
+/** Reason for an action taken or not taken, for logs and `get groups`. */
 export type PlacementNote =
-  /** `renewed`: the same hosts, named as they are now. */
+  /** `renewed`: same hosts, with current addresses and incarnations. */
   | { readonly type: 'formed' | 'repaired' | 'merged' | 'renewed'; readonly group: GroupName }
   | { readonly type: 'draining' | 'dissolved'; readonly group: GroupName }
-  /** A lost member is expected back sooner than a replacement would serve. */
+  /** A lost member is expected back before a replacement would serve. */
   | { readonly type: 'waitingForReturn'; readonly group: GroupName }
   | { readonly type: 'noSpare'; readonly group: GroupName }
   | { readonly type: 'loadBudgetSpent'; readonly declaration: DeclarationName }
   | { readonly type: 'heldBackAsSpares'; readonly declaration: DeclarationName };
 
-/** What placement wants; the shape of the `placeGroups` command and the reasons. */
+/** Result of a placement decision: the content of a `placeGroups` command, and the reasons. */
 export interface PlacementDecision {
   readonly place: readonly GroupPlacement[];
   readonly dissolve: readonly GroupName[];
--- a/src/placement/working-plan.ts
+++ b/src/placement/working-plan.ts
@@ -17,7 +17,7 @@
   PlacementNote,
 } from './types.js';
 
-/** A decision while it is being made: who is free, what was placed and dissolved so far, what may still be loaded. */
+/** Mutable state of one placement decision: free hosts, groups placed and dissolved so far, and the remaining load budget. */
 export class WorkingPlan {
   readonly input: PlacementInput;
   readonly hosts: ReadonlyMap<HostName, PlacementHost>;
@@ -26,8 +26,8 @@
   readonly #placed = new Map<GroupName, GroupPlacement>();
   readonly #dissolved = new Set<GroupName>();
   readonly #notes: PlacementNote[] = [];
-  readonly #running: number;
-  #started = 0;
+  readonly #loadsRunning: number;
+  #loadsStarted = 0;
 
   constructor(input: PlacementInput) {
     this.input = input;
@@ -42,7 +42,7 @@
         running += host !== undefined && isUsable(host) && !isReadyFor(host, group.offer) ? 1 : 0;
       }
     }
-    this.#running = running;
+    this.#loadsRunning = running;
     for (const host of input.hosts) {
       if (isUsable(host) && !taken.has(host.facts.host)) {
         this.#free.set(host.facts.host, host);
@@ -50,52 +50,52 @@
     }
   }
 
-  /** Hosts that no group holds and that may join one of the declaration: loaded ones first, then by name. */
+  /** Free hosts that may join a group of the declaration: those that have loaded its artifact first, then by name. */
   findSpares(declaration: GroupDeclaration): readonly PlacementHost[] {
     return [...this.#free.values()]
       .filter((host) => isMeantFor(host, declaration))
       .sort((left, right) => compareSpares(left, right, declaration.carries));
   }
 
-  /** Spares that no group holds, whatever they are meant for. */
-  findFree(): readonly PlacementHost[] {
+  /** All free hosts, whatever declaration selects them. */
+  listFreeHosts(): readonly PlacementHost[] {
     return [...this.#free.values()];
   }
 
-  /** Whether the loads that a group needs may start now; a group that alone needs more than the limit may, when nothing else loads. */
+  /** Whether the loads that a group needs may start now; a group that needs more than the limit may start when nothing else is loading. */
   hasLoadBudget(loads: number): boolean {
-    const used = this.#running + this.#started;
+    const used = this.#loadsRunning + this.#loadsStarted;
     return (
       loads === 0 || used === 0 || used + loads <= this.input.configuration.policy.concurrentLoads
     );
   }
 
   /**
-   * Creates or replaces a group; its members are free no longer, and members it lost may be used elsewhere.
-   * A name that this decision dissolved stays dissolved too: the same hosts under the same name would otherwise keep
-   * the fencing number of the placement that its lead has given up.
+   * Creates or replaces a group; its members are no longer free, and its former members may be used elsewhere.
+   * A group name that this decision dissolved is reported as dissolved as well. Otherwise the same hosts under the same
+   * name would keep the fencing number of a placement whose lead has already released its leases.
    */
   place(placement: Omit<GroupPlacement, 'isDraining'>, members: readonly PlacementHost[]): void {
     for (const host of members) {
       this.#free.delete(host.facts.host);
-      this.#started += isReadyFor(host, placement.offer) ? 0 : 1;
+      this.#loadsStarted += isReadyFor(host, placement.offer) ? 0 : 1;
     }
     this.#freeMembers(placement.name, new Set(members.map((host) => host.facts.host)));
     this.#placed.set(placement.name, { ...placement, isDraining: false });
   }
 
-  /** Lets a group finish its work. */
+  /** Starts draining a group: it finishes its attempts and accepts no new ones. */
   drain(group: Group): void {
     const { name, declaration, members, offer } = group;
     this.#placed.set(name, { name, declaration, members, offer, isDraining: true });
-    this.note({ type: 'draining', group: name });
+    this.addNote({ type: 'draining', group: name });
   }
 
-  /** Ends a group; the hosts that were in it are free within this decision, because leases keep the two apart. */
+  /** Dissolves a group; its hosts are free again within this decision, because leases keep the old and new groups from overlapping. */
   dissolve(name: GroupName): void {
     this.#freeMembers(name, new Set());
     this.#dissolved.add(name);
-    this.note({ type: 'dissolved', group: name });
+    this.addNote({ type: 'dissolved', group: name });
   }
 
   isDissolved(name: GroupName): boolean {
@@ -107,19 +107,19 @@
     return this.#placed.has(name);
   }
 
-  /** Groups of the declaration that this decision creates beside the ones given. */
+  /** Number of groups of the declaration that this decision creates in addition to `present`. */
   countFormed(declaration: DeclarationName, present: ReadonlySet<GroupName>): number {
     return [...this.#placed.values()].filter(
       (placement) => placement.declaration === declaration && !present.has(placement.name),
     ).length;
   }
 
-  note(note: PlacementNote): void {
+  addNote(note: PlacementNote): void {
     this.#notes.push(note);
   }
 
-  /** The lowest number that no group of the declaration has. */
-  nameGroup(declaration: DeclarationName): GroupName {
+  /** Returns a group name with the lowest number not in use by the declaration. */
+  nextGroupName(declaration: DeclarationName): GroupName {
     for (let number = 1; ; number += 1) {
       const name = `${declaration}/${number}`;
       const isKept = this.#groups.has(name) && !this.#dissolved.has(name);
@@ -132,8 +132,8 @@
   finish(): PlacementDecision {
     const loads: LoadBudget = {
       limit: this.input.configuration.policy.concurrentLoads,
-      running: this.#running,
-      started: this.#started,
+      running: this.#loadsRunning,
+      started: this.#loadsStarted,
     };
     const dissolve = [...this.#dissolved].sort();
     return { place: [...this.#placed.values()], dissolve, loads, notes: this.#notes };
@@ -149,7 +149,7 @@
   }
 }
 
-/** Spares by fabric domain, in the order given. */
+/** Groups hosts by fabric domain, keeping their order. */
 export function groupByFabricDomain(
   hosts: readonly PlacementHost[],
 ): ReadonlyMap<string, readonly PlacementHost[]> {
@@ -166,7 +166,7 @@
   return hosts.filter((host) => !hasLoaded(host, artifact)).length;
 }
 
-/** A host as a member of a new placement. */
+/** Converts a host to a member of a new placement. */
 export function toMember({ facts }: PlacementHost): GroupMember {
   return { host: facts.host, address: facts.address, incarnation: facts.incarnation };
 }
@@ -176,7 +176,7 @@
   return loaded === 0 ? compareNames(left.facts.host, right.facts.host) : loaded;
 }
 
-/** Orders by code units: the same on every host, whatever its locale. */
+/** Compares by UTF-16 code units, so that the order is the same on every host, whatever its locale. */
 export function compareNames(left: string, right: string): number {
   if (left === right) {
     return 0;
