--- a/__tests__/groups/drain.test.ts
+++ b/__tests__/groups/drain.test.ts
@@ -6,8 +6,8 @@
   return effects.map(({ type }) => type);
 }
 
-describe('planned stop', () => {
-  it('refuses new work at once, lets running work end, hands back, then leaves', () => {
+describe('graceful shutdown', () => {
+  it('refuses new work at once, finishes running work, releases leases, then leaves', () => {
     const drain = new DrainController(Infinity);
     drain.handle({ type: 'workChanged', now: 0, running: 2 });
     drain.handle({ type: 'holdChanged', now: 0, isHeld: true });
@@ -25,7 +25,7 @@
     expect(drain.state).toBe('left');
   });
 
-  it('waits for leads elsewhere that still have work of this host', () => {
+  it('waits while leads on other hosts still hold a lease on this host', () => {
     const drain = new DrainController(Infinity);
     drain.handle({ type: 'holdChanged', now: 0, isHeld: true });
     drain.handle({ type: 'workChanged', now: 0, running: 0 });
@@ -36,26 +36,26 @@
     ]);
   });
 
-  it('cuts off what is left only at the hard limit that operators set', () => {
+  it('aborts the remaining attempts only at the hard limit', () => {
     const drain = new DrainController(1000);
     drain.handle({ type: 'workChanged', now: 0, running: 1 });
     drain.handle({ type: 'holdChanged', now: 0, isHeld: false });
     drain.handle({ type: 'stopRequested', now: 0 });
     expect(drain.handle({ type: 'ticked', now: 999 })).toEqual([]);
-    expect(typesOf(drain.handle({ type: 'ticked', now: 1000 }))).toEqual(['cutOff']);
+    expect(typesOf(drain.handle({ type: 'ticked', now: 1000 }))).toEqual(['abortAttempts']);
     expect(typesOf(drain.handle({ type: 'workChanged', now: 1001, running: 0 }))).toEqual([
       'dissolveGroups',
       'leave',
     ]);
   });
 
-  it('does not leave before it was told of work and leases', () => {
-    // Symptom: a sidecar exits at once and its group breaks under the requests in flight. Sequence: the stop is asked for before the
-    // first count of attempts and leases. Cause: unknown taken for none.
+  it('does not leave before the running attempts and leases are known', () => {
+    // Guards against a sidecar that exits at once and breaks its group with requests in flight: the shutdown is requested before the
+    // first count of attempts and leases, and unknown was treated as none.
     const drain = new DrainController(Infinity);
     drain.handle({ type: 'stopRequested', now: 0 });
     expect(drain.state).toBe('draining');
     drain.handle({ type: 'workChanged', now: 1, running: 0 });
-    expect(drain.state).toBe('handingBack');
+    expect(drain.state).toBe('releasingLeases');
   });
 });
--- a/__tests__/groups/session.ts
+++ b/__tests__/groups/group-simulation.ts
@@ -6,31 +6,31 @@
   type Group,
   type GroupHealth,
 } from '../../src/model/index.js';
-import { describeGroup, loadDuration, SessionControl } from './session-control.js';
+import { describeGroup, loadDuration, SimulatedControl } from './simulated-control.js';
 import {
   describeHost,
   leaseDuration,
   restartHost,
   startHost,
   type LedGroup,
-  type SessionHost,
-} from './session-host.js';
+  type SimulatedHost,
+} from './simulated-host.js';
 
 /**
- * A session of a few hosts and one control host for golden files: real decisions, one step every 50 ms, messages that
- * arrive at once or, over a cut link, not at all. What happens is written down as lines.
+ * Simulates a few hosts and one control host for golden files. Decisions use the real code, in steps of 50 ms. Messages arrive
+ * at once or, over a cut link, not at all. Events are recorded as lines of text.
  */
 
 const stepMilliseconds = 50;
 const reportInterval = 1000;
 const placementInterval = 250;
 
-export class Session {
+export class GroupSimulation {
   readonly #lines: string[] = [];
-  readonly #hosts: ReadonlyMap<string, SessionHost>;
-  readonly #control: SessionControl;
-  readonly #cut = new Set<string>();
-  /** Messages under way, carried out only after the effects of the step that sent them. */
+  readonly #hosts: ReadonlyMap<string, SimulatedHost>;
+  readonly #control: SimulatedControl;
+  readonly #cutLinks = new Set<string>();
+  /** Messages in transit, delivered only after the effects of the step that sent them. */
   readonly #messages: (() => void)[] = [];
   #now = 0;
 
@@ -39,7 +39,7 @@
     configuration: Configuration,
     options: { readonly loaded?: Artifact; readonly rates?: Readonly<Record<string, number>> } = {},
   ) {
-    this.#control = new SessionControl(configuration, (line) => {
+    this.#control = new SimulatedControl(configuration, (line) => {
       this.#log(line);
     });
     this.#hosts = new Map(
@@ -47,97 +47,104 @@
     );
   }
 
-  /** The whole session as text. */
+  /** The recorded events as text. */
   get text(): string {
     return `${this.#lines.join('\n')}\n`;
   }
 
-  /** Lets time pass. */
-  pass(milliseconds: number): void {
+  /** Advances the simulated time. */
+  advance(milliseconds: number): void {
     for (const end = this.#now + milliseconds; this.#now < end;) {
       this.#now += stepMilliseconds;
       this.#step();
     }
   }
 
-  /** Heading of what the session does next. */
-  note(text: string): void {
+  /** Records a heading for the next action. */
+  logHeading(text: string): void {
     this.#log(`-- ${text}`);
   }
 
-  /** The process ends and its connections close. */
+  /** Terminates the process, which closes its connections. */
   kill(name: string): void {
-    this.note(`${name} is killed`);
+    this.logHeading(`${name} is killed`);
     this.#stop(name);
     for (const host of this.#hosts.values()) {
       for (const led of host.leads.values()) {
-        const event = { type: 'connectionClosed', now: this.#clock(host), member: name } as const;
-        this.#runLead(host, led, led.lead.handle(event));
+        const event = {
+          type: 'connectionClosed',
+          now: this.#readClock(host),
+          member: name,
+        } as const;
+        this.#applyLeadEffects(host, led, led.lead.handle(event));
       }
     }
-    this.#control.noteClosed(name, this.#now);
+    this.#control.handleClosedConnection(name, this.#now);
   }
 
-  /** The host loses its power: nothing closes, nothing answers. */
-  darken(name: string): void {
-    this.note(`${name} goes dark`);
+  /** Simulates a power loss: connections do not close and nothing responds. */
+  powerOff(name: string): void {
+    this.logHeading(`${name} goes dark`);
     this.#stop(name);
   }
 
   start(name: string, loaded?: Artifact): void {
-    this.note(`${name} starts again`);
+    this.logHeading(`${name} starts again`);
     const host = this.#find(name);
     host.loaded = loaded ?? host.loaded;
-    restartHost(host, this.#clock(host));
+    restartHost(host, this.#readClock(host));
   }
 
   freeze(name: string): void {
-    this.note(`${name} is frozen`);
+    this.logHeading(`${name} is frozen`);
     this.#find(name).state = 'frozen';
   }
 
-  thaw(name: string): void {
-    this.note(`${name} goes on`);
+  resume(name: string): void {
+    this.logHeading(`${name} goes on`);
     this.#find(name).state = 'running';
     this.attempt(name);
   }
 
-  /** Nothing passes between the two any more; `control` is a name too. */
-  cut(one: string, other: string): void {
-    this.note(`${one} and ${other} are cut off from each other`);
-    this.#cut.add(linkOf(one, other));
+  /** Drops all messages between the two; `control` is a valid name too. */
+  cutLink(one: string, other: string): void {
+    this.logHeading(`${one} and ${other} are cut off from each other`);
+    this.#cutLinks.add(createLinkKey(one, other));
   }
 
-  mend(one: string, other: string): void {
-    this.note(`${one} and ${other} reach each other again`);
-    this.#cut.delete(linkOf(one, other));
+  restoreLink(one: string, other: string): void {
+    this.logHeading(`${one} and ${other} reach each other again`);
+    this.#cutLinks.delete(createLinkKey(one, other));
   }
 
-  /** Work in flight at the groups a host leads. */
+  /** Sets the number of attempts in flight at the groups that a host leads. */
   setRunning(name: string, running: number): void {
-    this.note(`${name} has ${running} attempts in flight`);
+    this.logHeading(`${name} has ${running} attempts in flight`);
     const host = this.#find(name);
     host.running = running;
     for (const led of host.leads.values()) {
-      const event = { type: 'attemptsChanged', now: this.#clock(host), running } as const;
-      this.#runLead(host, led, led.lead.handle(event));
+      const event = { type: 'attemptsChanged', now: this.#readClock(host), running } as const;
+      this.#applyLeadEffects(host, led, led.lead.handle(event));
     }
   }
 
   drain(name: string): void {
-    this.note(`${name} is to stop`);
+    this.logHeading(`${name} is to stop`);
     const host = this.#find(name);
     host.isDraining = true;
-    this.#answer(host.member.handle({ type: 'drainRequested', now: this.#clock(host) }), host);
+    this.#sendAnswers(
+      host.member.handle({ type: 'drainRequested', now: this.#readClock(host) }),
+      host,
+    );
     this.#deliver();
   }
 
-  /** What each placement that the host leads says to a new attempt at this moment. */
+  /** Records how each placement that the host leads would answer a new attempt now. */
   attempt(name: string): void {
     const host = this.#find(name);
     for (const { group, lead } of host.leads.values()) {
       this.#log(
-        `${name}: ${describeGroup(group)} answers an attempt: ${lead.admission(this.#clock(host))}`,
+        `${name}: ${describeGroup(group)} answers an attempt: ${lead.admission(this.#readClock(host))}`,
       );
     }
   }
@@ -158,9 +165,9 @@
     }
   }
 
-  #stepHost(host: SessionHost): void {
+  #stepHost(host: SimulatedHost): void {
     if (this.#isLinked(host.name, 'control')) {
-      this.#learn(host);
+      this.#applyPlacements(host);
       if (this.#now % reportInterval === 0) {
         this.#report(host);
       }
@@ -169,48 +176,56 @@
       if (led.lead.isDraining) {
         const event = {
           type: 'attemptsChanged',
-          now: this.#clock(host),
+          now: this.#readClock(host),
           running: host.running,
         } as const;
-        this.#runLead(host, led, led.lead.handle(event));
+        this.#applyLeadEffects(host, led, led.lead.handle(event));
       }
-      if (led.wakeAt <= this.#clock(host)) {
-        this.#runLead(host, led, led.lead.handle({ type: 'ticked', now: this.#clock(host) }));
+      if (led.nextTickAt <= this.#readClock(host)) {
+        this.#applyLeadEffects(
+          host,
+          led,
+          led.lead.handle({ type: 'ticked', now: this.#readClock(host) }),
+        );
       }
     }
   }
 
-  #report(host: SessionHost): void {
-    const groups = [...host.leads.values()].map(({ lead }) => lead.health(this.#clock(host)));
-    this.#control.hear(describeHost(host), groups, this.#now);
+  #report(host: SimulatedHost): void {
+    const groups = [...host.leads.values()].map(({ lead }) => lead.health(this.#readClock(host)));
+    this.#control.handleReport(describeHost(host), groups, this.#now);
   }
 
-  /** A host hears of the present placements. */
-  #learn(host: SessionHost): void {
+  /** Applies the current placements at a host. */
+  #applyPlacements(host: SimulatedHost): void {
     for (const [fencingNumber, led] of host.leads) {
       const present = this.#control.groups.get(led.group.name);
       if (present?.fencingNumber !== fencingNumber) {
-        this.#runLead(host, led, led.lead.handle({ type: 'dissolved', now: this.#clock(host) }));
+        this.#applyLeadEffects(
+          host,
+          led,
+          led.lead.handle({ type: 'dissolved', now: this.#readClock(host) }),
+        );
         host.leads.delete(fencingNumber);
       } else if (present.isDraining && !led.lead.isDraining) {
-        this.#runLead(
+        this.#applyLeadEffects(
           host,
           led,
-          led.lead.handle({ type: 'drainRequested', now: this.#clock(host) }),
+          led.lead.handle({ type: 'drainRequested', now: this.#readClock(host) }),
         );
       }
     }
     for (const group of this.#control.groups.values()) {
       if (group.members.some((member) => member.host === host.name)) {
-        this.#prepare(host, group);
+        this.#updateReadiness(host, group);
       }
       if (findLead(group).host === host.name && !host.leads.has(group.fencingNumber)) {
-        this.#lead(host, group);
+        this.#startLead(host, group);
       }
     }
   }
 
-  #prepare(host: SessionHost, group: Group): void {
+  #updateReadiness(host: SimulatedHost, group: Group): void {
     if (group.offer.type !== 'model') {
       return;
     }
@@ -225,11 +240,11 @@
       this.#log(`${host.name}: loaded`);
     }
     const { name, fencingNumber } = group;
-    const now = this.#clock(host);
+    const now = this.#readClock(host);
     host.member.handle({ type: 'readinessChanged', now, group: name, fencingNumber, isReady });
   }
 
-  #lead(host: SessionHost, group: Group): void {
+  #startLead(host: SimulatedHost, group: Group): void {
     const lead = new LeaseLead({
       group,
       incarnation: `${host.name}/${host.start}`,
@@ -237,19 +252,19 @@
       confirmBatch: 3,
       confirmTimeout: 250,
     });
-    const led: LedGroup = { group, lead, wakeAt: Infinity, health: undefined };
+    const led: LedGroup = { group, lead, nextTickAt: Infinity, health: undefined };
     host.leads.set(group.fencingNumber, led);
-    this.#runLead(host, led, lead.handle({ type: 'started', now: this.#clock(host) }));
+    this.#applyLeadEffects(host, led, lead.handle({ type: 'started', now: this.#readClock(host) }));
   }
 
-  #runLead(host: SessionHost, led: LedGroup, effects: readonly LeaseLeadEffect[]): void {
+  #applyLeadEffects(host: SimulatedHost, led: LedGroup, effects: readonly LeaseLeadEffect[]): void {
     for (const effect of effects) {
       switch (effect.type) {
         case 'ask':
-          this.#ask(host, effect);
+          this.#sendQuestion(host, effect);
           break;
         case 'wake':
-          led.wakeAt = effect.at;
+          led.nextTickAt = effect.at;
           break;
         case 'healthChanged':
           this.#logHealth(host, led, effect.health);
@@ -266,28 +281,31 @@
     }
   }
 
-  #ask(host: SessionHost, { member, question }: Extract<LeaseLeadEffect, { type: 'ask' }>): void {
+  #sendQuestion(
+    host: SimulatedHost,
+    { member, question }: Extract<LeaseLeadEffect, { type: 'ask' }>,
+  ): void {
     const asked = this.#find(member.host);
     if (asked.state !== 'running' || !this.#isLinked(host.name, asked.name)) {
       return;
     }
     this.#messages.push(() => {
-      const now = this.#clock(asked);
-      this.#answer(asked.member.handle({ type: 'asked', now, question }), asked);
+      const now = this.#readClock(asked);
+      this.#sendAnswers(asked.member.handle({ type: 'asked', now, question }), asked);
     });
   }
 
-  #answer(
+  #sendAnswers(
     effects: readonly { readonly to: string; readonly answer: LeaseAnswer }[],
-    from: SessionHost,
+    from: SimulatedHost,
   ): void {
     for (const { to, answer } of effects) {
       const host = this.#find(to);
       const led = host.leads.get(answer.fencingNumber);
       if (led !== undefined && host.state === 'running' && this.#isLinked(host.name, from.name)) {
-        const event = { type: 'answered', now: this.#clock(host), answer } as const;
+        const event = { type: 'answered', now: this.#readClock(host), answer } as const;
         this.#messages.push(() => {
-          this.#runLead(host, led, led.lead.handle(event));
+          this.#applyLeadEffects(host, led, led.lead.handle(event));
         });
       }
     }
@@ -303,7 +321,7 @@
     }
   }
 
-  #logHealth(host: SessionHost, led: LedGroup, health: GroupHealth): void {
+  #logHealth(host: SimulatedHost, led: LedGroup, health: GroupHealth): void {
     const wasServing = led.health?.isServing ?? false;
     const wasDrained = led.health?.isDrained ?? false;
     led.health = health;
@@ -328,14 +346,14 @@
   }
 
   #isLinked(one: string, other: string): boolean {
-    return !this.#cut.has(linkOf(one, other));
+    return !this.#cutLinks.has(createLinkKey(one, other));
   }
 
-  #clock(host: SessionHost): number {
-    return this.#now * host.rate;
+  #readClock(host: SimulatedHost): number {
+    return this.#now * host.clockRate;
   }
 
-  #find(name: string): SessionHost {
+  #find(name: string): SimulatedHost {
     const host = this.#hosts.get(name);
     if (host === undefined) {
       throw new Error(`no host ${name}`);
@@ -348,6 +366,6 @@
   }
 }
 
-function linkOf(one: string, other: string): string {
+function createLinkKey(one: string, other: string): string {
   return [one, other].sort().join(' ');
 }
--- a/__tests__/groups/orders.test.ts
+++ b/__tests__/groups/orders.test.ts
@@ -8,19 +8,19 @@
   type EngineOrder,
   type OrderEffect,
   type OrderEvent,
-  type OrderedPlacement,
+  type DesiredPlacement,
 } from '../../src/sidecar/orders/index.js';
 
 const assist: Artifact = { model: 'assist', version: '1', adapters: [] };
 const desk: Artifact = { model: 'desk', version: '1', adapters: [] };
 
-function place(fencingNumber: number, artifact: Artifact): OrderedPlacement {
+function createPlacement(fencingNumber: number, artifact: Artifact): DesiredPlacement {
   const group = `${artifact.model}/1`;
   return { group, fencingNumber, artifact, role: { group, rank: 0, size: 2 } };
 }
 
-/** An engine that does at once what it is ordered, unless told to fail; it ignores fencing numbers. */
-class Bench {
+/** Simulates an engine that executes orders at once, or fails them if told to. It ignores fencing numbers. */
+class OrderHarness {
   readonly controller = new OrderController(defaultOrderOptions, createRandomSource(1));
   readonly orders: EngineOrder[] = [];
   readonly effects: OrderEffect[] = [];
@@ -29,7 +29,7 @@
   now = 0;
   readonly #queue: OrderEvent[] = [];
 
-  /** Effects are all taken before the first is carried out, as a shell does; what follows from them waits its turn. */
+  /** Applies all effects of one event before handling the next; events that the effects cause are queued. */
   handle(event: OrderEvent): void {
     this.#queue.push(event);
     if (this.#queue.length > 1) {
@@ -46,7 +46,7 @@
       this.effects.push(effect);
       if (effect.type === 'send') {
         this.orders.push(effect.order);
-        this.#carryOut(effect.order);
+        this.#execute(effect.order);
       }
     }
   }
@@ -56,7 +56,7 @@
     this.handle({ type: 'engineChanged', now: this.now, engine });
   }
 
-  place(placement: OrderedPlacement | undefined): void {
+  setPlacement(placement: DesiredPlacement | undefined): void {
     this.handle({ type: 'placementChanged', now: this.now, placement });
   }
 
@@ -70,7 +70,7 @@
     );
   }
 
-  #carryOut({ sequence, action }: EngineOrder): void {
+  #execute({ sequence, action }: EngineOrder): void {
     const outcome = this.isFailing ? 'failed' : 'accepted';
     this.handle({ type: 'orderAnswered', now: this.now, sequence, outcome });
     if (this.isFailing || action.type === 'changeRole') {
@@ -81,100 +81,100 @@
   }
 }
 
-describe('orders to the engine', () => {
-  it('loads what the placement offers, gives the engine its role, then is ready', () => {
-    const bench = new Bench();
-    bench.announce();
-    bench.place(place(3, assist));
-    expect(bench.actions).toEqual(['loadModel', 'changeRole']);
-    expect(bench.orders.every(({ fencingNumber }) => fencingNumber === 3)).toBe(true);
-    expect(bench.readiness).toEqual([[3, true]]);
+describe('order controller', () => {
+  it('loads the artifact of the placement, assigns the role, then reports ready', () => {
+    const harness = new OrderHarness();
+    harness.announce();
+    harness.setPlacement(createPlacement(3, assist));
+    expect(harness.actions).toEqual(['loadModel', 'changeRole']);
+    expect(harness.orders.every(({ fencingNumber }) => fencingNumber === 3)).toBe(true);
+    expect(harness.readiness).toEqual([[3, true]]);
   });
 
-  it('changes version, adapters and model by the order for each', () => {
-    const bench = new Bench();
-    bench.loaded = [assist];
-    bench.announce();
-    bench.place(place(1, { ...assist, adapters: ['dairy'] }));
-    bench.place(place(2, { ...assist, version: '2' }));
-    bench.place(place(3, desk));
-    const loads = bench.actions.filter((action) => action !== 'changeRole');
+  it('uses a separate order to change version, adapters or model', () => {
+    const harness = new OrderHarness();
+    harness.loaded = [assist];
+    harness.announce();
+    harness.setPlacement(createPlacement(1, { ...assist, adapters: ['dairy'] }));
+    harness.setPlacement(createPlacement(2, { ...assist, version: '2' }));
+    harness.setPlacement(createPlacement(3, desk));
+    const loads = harness.actions.filter((action) => action !== 'changeRole');
     expect(loads).toEqual(['loadAdapters', 'changeVersion', 'unload', 'loadModel']);
   });
 
-  it('orders nothing while the lead of another placement may count on the engine', () => {
-    const bench = new Bench();
-    bench.loaded = [assist];
-    bench.announce();
-    bench.handle({ type: 'holderChanged', now: 0, holder: 1 });
-    bench.place(place(2, desk));
-    expect(bench.actions).toEqual([]);
-    bench.handle({ type: 'holderChanged', now: 10, holder: undefined });
-    expect(bench.actions).toEqual(['unload', 'loadModel', 'changeRole']);
+  it('sends no order while the lead of another placement may hold a lease on the host', () => {
+    const harness = new OrderHarness();
+    harness.loaded = [assist];
+    harness.announce();
+    harness.handle({ type: 'holderChanged', now: 0, holder: 1 });
+    harness.setPlacement(createPlacement(2, desk));
+    expect(harness.actions).toEqual([]);
+    harness.handle({ type: 'holderChanged', now: 10, holder: undefined });
+    expect(harness.actions).toEqual(['unload', 'loadModel', 'changeRole']);
   });
 
-  it('does nothing for a placement that arrives late', () => {
-    // Symptom: an engine unloads what its group serves. Sequence: a watch is resumed at another control host, which is behind
-    // and tells of an older placement. Cause to keep out: taking the last placement heard for the newest.
-    const bench = new Bench();
-    bench.announce();
-    bench.place(place(5, desk));
-    const before = bench.orders.length;
-    bench.place(place(4, assist));
-    expect(bench.orders).toHaveLength(before);
-    expect(bench.readiness).toEqual([[5, true]]);
+  it('ignores an outdated placement that arrives late', () => {
+    // Guards against unloading the artifact that the group serves: a watch resumes at another control host that lags behind and
+    // sends an older placement. Treating the last placement received as the newest would cause this.
+    const harness = new OrderHarness();
+    harness.announce();
+    harness.setPlacement(createPlacement(5, desk));
+    const before = harness.orders.length;
+    harness.setPlacement(createPlacement(4, assist));
+    expect(harness.orders).toHaveLength(before);
+    expect(harness.readiness).toEqual([[5, true]]);
   });
 
-  it('holds an order back that became old on its way to an engine that checks nothing', () => {
-    // Symptom: an engine loads the model of a placement that is over. Sequence: an order waits for a connection; meanwhile the
-    // placement changes; the order leaves. Cause to keep out: a check when the order was made instead of when it leaves.
+  it('does not send an order that became outdated before it left, if the engine ignores fencing numbers', () => {
+    // Guards against loading the model of an outdated placement: an order waits for a connection while the placement changes, and
+    // is sent afterwards. Checking the order when it is created instead of when it is sent would cause this.
     const controller = new OrderController(defaultOrderOptions, createRandomSource(1));
     const engine = { type: 'engine', loaded: [], checksFencingNumber: false } as const;
     controller.handle({ type: 'engineChanged', now: 0, engine });
     const [send] = controller
-      .handle({ type: 'placementChanged', now: 0, placement: place(1, assist) })
+      .handle({ type: 'placementChanged', now: 0, placement: createPlacement(1, assist) })
       .filter((effect) => effect.type === 'send');
     if (send === undefined) {
-      throw new Error('nothing was ordered');
+      throw new Error('no order was sent');
     }
     expect(controller.isCurrent(send.order)).toBe(true);
-    controller.handle({ type: 'placementChanged', now: 1, placement: place(2, desk) });
+    controller.handle({ type: 'placementChanged', now: 1, placement: createPlacement(2, desk) });
     expect(controller.isCurrent(send.order)).toBe(false);
   });
 
-  it('backs off after failures, says that the host is not fit, and recovers', () => {
-    const bench = new Bench();
-    bench.isFailing = true;
-    bench.announce();
-    bench.place(place(1, assist));
+  it('backs off after failures, reports the host as unfit, and recovers', () => {
+    const harness = new OrderHarness();
+    harness.isFailing = true;
+    harness.announce();
+    harness.setPlacement(createPlacement(1, assist));
     for (let failure = 1; failure < 4; failure += 1) {
-      const wake = bench.effects.filter((effect) => effect.type === 'wake').at(-1);
-      bench.now = wake?.at ?? 0;
-      bench.handle({ type: 'ticked', now: bench.now });
+      const wake = harness.effects.filter((effect) => effect.type === 'wake').at(-1);
+      harness.now = wake?.at ?? 0;
+      harness.handle({ type: 'ticked', now: harness.now });
     }
-    expect(bench.orders).toHaveLength(4);
-    expect(bench.now).toBeGreaterThan(3500 * 0.5);
-    bench.isFailing = false;
-    const wake = bench.effects.filter((effect) => effect.type === 'wake').at(-1);
-    bench.now = wake?.at ?? 0;
-    bench.handle({ type: 'ticked', now: bench.now });
-    const fitness = bench.effects.filter((effect) => effect.type === 'fitnessChanged');
+    expect(harness.orders).toHaveLength(4);
+    expect(harness.now).toBeGreaterThan(3500 * 0.5);
+    harness.isFailing = false;
+    const wake = harness.effects.filter((effect) => effect.type === 'wake').at(-1);
+    harness.now = wake?.at ?? 0;
+    harness.handle({ type: 'ticked', now: harness.now });
+    const fitness = harness.effects.filter((effect) => effect.type === 'fitnessChanged');
     expect(fitness.map(({ isFit }) => isFit)).toEqual([false, true]);
-    expect(bench.readiness).toEqual([[1, true]]);
+    expect(harness.readiness).toEqual([[1, true]]);
   });
 
-  it('stops when the engine refuses it for an old fencing number, until it learns of the newer placement', () => {
+  it('sends nothing after a fenced order until the newer placement arrives', () => {
     const controller = new OrderController(defaultOrderOptions, createRandomSource(1));
     const engine = { type: 'engine', loaded: [], checksFencingNumber: true } as const;
     controller.handle({ type: 'engineChanged', now: 0, engine });
-    controller.handle({ type: 'placementChanged', now: 0, placement: place(1, assist) });
+    controller.handle({ type: 'placementChanged', now: 0, placement: createPlacement(1, assist) });
     controller.handle({ type: 'orderAnswered', now: 1, sequence: 1, outcome: 'fenced' });
     const later = controller.handle({ type: 'ticked', now: 1_000_000 });
     expect(later.some(({ type }) => type === 'send')).toBe(false);
     const newer = controller.handle({
       type: 'placementChanged',
       now: 2,
-      placement: place(2, desk),
+      placement: createPlacement(2, desk),
     });
     expect(newer.some(({ type }) => type === 'send')).toBe(true);
   });
--- a/__tests__/groups/session-control.ts
+++ b/__tests__/groups/simulated-control.ts
@@ -13,16 +13,16 @@
 import type { Configuration, Group, GroupHealth, HostFacts } from '../../src/model/index.js';
 import { planPlacement, type PlacementNote } from '../../src/placement/index.js';
 
-/** The control host of a session: host health, placement and replicated state, for real. */
+/** The control host of a group simulation, with the real host health, placement and replicated state. */
 
-/** No standing is worth a line before each host has been heard once. */
-const quietUntil = 1000;
+/** Standings are not recorded until every host has reported once. */
+const logStandingAfter = 1000;
 export const loadDuration = 10_000;
 
-export class SessionControl {
+export class SimulatedControl {
   readonly #health: HostHealth;
-  readonly #watch = new IncompleteGroupTracker();
-  readonly #reported = new Map<string, HostFacts>();
+  readonly #groupWatch = new IncompleteGroupTracker();
+  readonly #reportedFacts = new Map<string, HostFacts>();
   readonly #groupHealth = new Map<string, GroupHealth>();
   readonly #log: (line: string) => void;
   #state: ControlState;
@@ -41,38 +41,38 @@
     this.#state = { ...this.#state, configuration, revision: this.#state.revision + 1 };
   }
 
-  /** A report of a host and of the groups it leads. */
-  hear(facts: HostFacts, groups: readonly GroupHealth[], now: number): void {
-    this.#reported.set(facts.host, facts);
+  /** Handles a report of a host and of the groups that it leads. */
+  handleReport(facts: HostFacts, groups: readonly GroupHealth[], now: number): void {
+    this.#reportedFacts.set(facts.host, facts);
     const { host, incarnation, region, failureDomain, isHealthy } = facts;
     const sign = { host, incarnation, region, failureDomain, isHealthy, isLeaving: false };
-    this.#tell({ type: 'reported', now, report: sign, via: 'control' });
+    this.#updateHealth({ type: 'reported', now, report: sign, via: 'control' });
     for (const health of groups) {
       this.#groupHealth.set(health.group, health);
-      this.#watch.record(health, now);
+      this.#groupWatch.record(health, now);
       for (const missing of health.missing) {
-        this.#tell({ type: 'missed', now, host: missing });
+        this.#updateHealth({ type: 'missed', now, host: missing });
       }
     }
   }
 
-  noteClosed(host: string, now: number): void {
-    this.#tell({ type: 'connectionClosed', now, host });
+  handleClosedConnection(host: string, now: number): void {
+    this.#updateHealth({ type: 'connectionClosed', now, host });
   }
 
-  /** Looks at silences and decides placement. */
+  /** Checks for silent hosts and plans placements. */
   tick(now: number): void {
-    this.#tell({ type: 'ticked', now });
+    this.#updateHealth({ type: 'ticked', now });
     const decision = planPlacement({
       configuration: this.#state.configuration,
-      hosts: [...this.#reported.values()].map((facts) => ({
+      hosts: [...this.#reportedFacts.values()].map((facts) => ({
         facts,
         availability: this.#health.availabilityOf(facts.host, now),
       })),
       groups: [...this.#state.groups.values()].map((group) => ({
         group,
         health: this.#groupHealth.get(group.name),
-        incompleteFor: this.#watch.incompleteFor(group, now),
+        incompleteFor: this.#groupWatch.incompleteFor(group, now),
       })),
       estimates: { loadDuration, handover: 3000, hostUnavailability: 0.01 },
       isWatcherSuspected: this.#health.isIsolationSuspected,
@@ -99,14 +99,14 @@
     }
   }
 
-  #tell(event: HostHealthEvent): void {
+  #updateHealth(event: HostHealthEvent): void {
     for (const effect of this.#health.handle(event)) {
       this.#logEffect(effect, event.now);
     }
   }
 
   #logEffect(effect: HostHealthEffect, now: number): void {
-    if (effect.type === 'statusChanged' && now > quietUntil) {
+    if (effect.type === 'statusChanged' && now > logStandingAfter) {
       this.#log(`control: ${effect.host} ${effect.status}`);
     }
     if (effect.type === 'isolationSuspicionChanged') {
--- a/__tests__/groups/session-host.ts
+++ b/__tests__/groups/simulated-host.ts
@@ -2,21 +2,21 @@
 import type { Artifact, Group, GroupHealth, HostFacts } from '../../src/model/index.js';
 import { createHost } from '../placement/fixtures.js';
 
-/** The hosts of a session. */
+/** Hosts of a group simulation. */
 
 export const leaseDuration = 2000;
 
 export interface LedGroup {
   readonly group: Group;
   readonly lead: LeaseLead;
-  wakeAt: number;
+  nextTickAt: number;
   health: GroupHealth | undefined;
 }
 
-export interface SessionHost {
+export interface SimulatedHost {
   readonly name: string;
-  /** How fast its clock runs against true time. */
-  readonly rate: number;
+  /** Speed of its clock relative to simulated time. */
+  readonly clockRate: number;
   start: number;
   state: 'running' | 'frozen' | 'down';
   member: LeaseMember;
@@ -27,11 +27,15 @@
   running: number;
 }
 
-/** A host that starts at time 0. */
-export function startHost(name: string, rate: number, loaded: Artifact | undefined): SessionHost {
-  const host: SessionHost = {
+/** Creates a host that starts at time 0. */
+export function startHost(
+  name: string,
+  clockRate: number,
+  loaded: Artifact | undefined,
+): SimulatedHost {
+  const host: SimulatedHost = {
     name,
-    rate,
+    clockRate,
     start: 1,
     state: 'running',
     member: createMember(name, 1),
@@ -45,8 +49,8 @@
   return host;
 }
 
-/** The host starts again and has forgotten what it granted and led. */
-export function restartHost(host: SessionHost, now: number): void {
+/** Restarts the host without its memory of granted leases and led groups. */
+export function restartHost(host: SimulatedHost, now: number): void {
   host.start += 1;
   host.state = 'running';
   host.leads.clear();
@@ -54,8 +58,8 @@
   startMember(host, now);
 }
 
-/** What the host announces of itself. */
-export function describeHost({ name, start, loaded, isDraining }: SessionHost): HostFacts {
+/** The facts that the host reports. */
+export function describeHost({ name, start, loaded, isDraining }: SimulatedHost): HostFacts {
   const upstream = {
     type: 'engine',
     loaded: loaded === undefined ? [] : [loaded],
@@ -68,7 +72,7 @@
   return new LeaseMember({ host, incarnation: `${host}/${start}`, longestLease: leaseDuration });
 }
 
-function startMember({ member }: SessionHost, now: number): void {
+function startMember({ member }: SimulatedHost, now: number): void {
   member.handle({ type: 'started', now });
   member.handle({ type: 'healthChanged', now, isHealthy: true });
 }
--- a/__tests__/sidecar/engine-controller.test.ts
+++ b/__tests__/sidecar/engine-controller.test.ts
@@ -42,8 +42,8 @@
   return controller.handle(event)?.type;
 }
 
-describe('orders to the engine beside a sidecar', () => {
-  it('join with all members, the head first', () => {
+describe('engine controller orders', () => {
+  it('joins with all members, the head first', () => {
     const controller = new EngineController('head');
     controller.handle({ type: 'assigned', group });
     expect(controller.handle(read())).toEqual<EngineOrder>({
@@ -55,7 +55,7 @@
     });
   });
 
-  it('are repeated only when their effect does not show for a while', () => {
+  it('resends an order only after the resend interval without visible effect', () => {
     const controller = new EngineController('head');
     controller.handle({ type: 'assigned', group });
     expect(controller.handle(read())).toBeDefined();
@@ -63,7 +63,7 @@
     expect(controller.handle(read(undefined, {}, 500))).toBeDefined();
   });
 
-  it('open the head only, and only when it is ready', () => {
+  it('opens only the head, and only when it is ready', () => {
     expect(decide('opening', read('ready'))).toBe('open');
     expect(decide('opening', read('joining'))).toBeUndefined();
     expect(
@@ -72,10 +72,10 @@
   });
 
   /**
-   * Symptom: two groups with one engine. A head that was closed is opened again by an order that was lost on its way seconds
-   * ago, after its members have gone to other groups.
+   * Guards against one engine in two groups: an open order that was delayed for seconds could reopen a closed head after its
+   * members have joined other groups.
    */
-  it('close the head and make it leave, so that no late order opens it', () => {
+  it('closes the head and then leaves, so that no delayed order reopens it', () => {
     expect(decide('closing', read('open'))).toBe('close');
     expect(decide('closing', read('ready'))).toBe('leave');
     expect(decide('closing', read('broken'))).toBe('leave');
@@ -84,12 +84,12 @@
     ).toBeUndefined();
   });
 
-  it('are none for a group of an engine that was there before', () => {
+  it('sends no order for a group placed on an earlier engine instance', () => {
     expect(decide('joining', read(undefined, { instance: { id: 'i-restarted' } }))).toBeUndefined();
     expect(decide('closing', read('open', { instance: { id: 'i-restarted' } }))).toBeUndefined();
   });
 
-  it('stage what the leader wants while the engine is not busy', () => {
+  it('stages the requested model while the engine is not busy', () => {
     const controller = new EngineController('head');
     controller.handle({ type: 'stagingWanted', model: 'large' });
     expect(controller.handle(read(undefined, { isBusy: true }))).toBeUndefined();
@@ -97,7 +97,7 @@
     expect(controller.handle(read(undefined, { staged: ['large'] }, 1000))).toBeUndefined();
   });
 
-  it('remember the model of the last group until the engine is another one', () => {
+  it('keeps the model of the last group until the engine instance changes', () => {
     const controller = new EngineController('head');
     controller.handle({ type: 'assigned', group });
     controller.handle(read('joining'));
@@ -108,7 +108,7 @@
     expect(controller.lastModel).toBeUndefined();
   });
 
-  it('hold an engine that started again under its id for another one', () => {
+  it('treats an engine that restarted under the same id as a new instance', () => {
     const started = { id: 'i-head', startedAt: 1000 };
     const members = [{ host: 'head', instance: started, address: '10.0.0.1:80' }];
     const controller = new EngineController('head');
@@ -121,10 +121,10 @@
   });
 
   /**
-   * Symptom: a group that serves is dissolved. One answer of a member's engine was spoilt on its way, and the sidecar reported the
-   * engine as gone.
+   * Guards against dissolving a serving group: one response of a member's engine was corrupted in transit, and the sidecar reported
+   * the engine as gone.
    */
-  it('go by what the engine last said while its answers cannot be read, for some seconds', () => {
+  it('keeps the last reading for 3 s while responses are unreadable', () => {
     const controller = new EngineController('head');
     controller.handle(read('open'));
     controller.handle({ type: 'unreadable', now: 3000 });
@@ -135,15 +135,15 @@
 });
 
 /**
- * A group that served was given up, and its engines were freed beside a head that was open, because one question to an engine got no answer
- * or its liveness check found no slot. The controller had one event for these and for an engine that had ended.
+ * Guards against giving up a serving group: its engines were freed while its head was still open, because one status request got no
+ * response or the liveness check found no free slot. The controller used one event for these cases and for a terminated engine.
  */
-describe('what is told of an engine that is not read', () => {
-  it('is that it was not asked yet, before anything came of the first question', () => {
+describe('reason for a missing reading', () => {
+  it('is notAsked before the first status request completes', () => {
     expect(new EngineController('head').absence).toBe('notAsked');
   });
 
-  it('is that it is silent only after a second question in vain', () => {
+  it('becomes silent only after 500 ms of unanswered status requests', () => {
     const controller = new EngineController('head');
     controller.handle(read('open'));
     controller.handle({ type: 'unanswered', now: 1000 });
@@ -158,7 +158,7 @@
     expect(controller.absence).toBe('unanswered');
   });
 
-  it('is that it was not identified while it does not say which instance it is', () => {
+  it('is notIdentified while the instance id is unknown', () => {
     const controller = new EngineController('head');
     controller.handle(read('open'));
     controller.handle({ type: 'notIdentified' });
@@ -166,7 +166,7 @@
     expect(controller.reading).toBeUndefined();
   });
 
-  it('keeps the model of the last group, unless the engine has ended', () => {
+  it('keeps the model of the last group unless the engine has terminated', () => {
     const controller = new EngineController('head');
     controller.handle({ type: 'assigned', group });
     controller.handle(read('ready'));
--- a/__tests__/sidecar/sidecar-metrics.test.ts
+++ b/__tests__/sidecar/sidecar-metrics.test.ts
@@ -8,7 +8,7 @@
   return { group: 'llm/1', fencingNumber: 1, isServing, isDrained: false, missing };
 }
 
-function countLosses(looks: readonly (readonly GroupHealth[])[]): number {
+function countLosses(snapshots: readonly (readonly GroupHealth[])[]): number {
   const names: string[] = [];
   const metrics: Metrics = {
     increment: (name) => {
@@ -19,21 +19,21 @@
     close: () => Promise.resolve(),
   };
   const sidecar = new SidecarMetrics(metrics);
-  looks.forEach((groups) => {
-    sidecar.noteGroups(groups);
+  snapshots.forEach((groups) => {
+    sidecar.updateGroups(groups);
   });
   return names.filter((name) => name === 'sidecar.lease_losses').length;
 }
 
-describe('metrics of a sidecar', () => {
+describe('sidecar metrics', () => {
   const forming = createHealth(false, ['host-2']);
   const serving = createHealth(true, []);
 
-  it('count a lease lost by a group that served, once', () => {
+  it('counts the lease loss of a serving group once', () => {
     expect(countLosses([[forming], [serving], [forming], [forming], [serving]])).toBe(1);
   });
 
-  it('count no loss while a group forms, loads again or is dissolved', () => {
+  it('counts no loss while a group forms, reloads or is dissolved', () => {
     const loading = createHealth(false, []);
     expect(countLosses([[forming], [forming], [serving], [loading], [serving], []])).toBe(0);
   });
--- a/src/sidecar/drain/drain-controller.ts
+++ b/src/sidecar/drain/drain-controller.ts
@@ -8,37 +8,37 @@
   type DrainState,
 } from './drain-machine.js';
 
-/** What a planned stop depends on. */
+/** Input events of a graceful shutdown. */
 export type DrainEvent =
   | { readonly type: 'stopRequested'; readonly now: Milliseconds }
-  /** Attempts that this sidecar admitted and that have not ended; the groups that it leads are busy with them. */
+  /** Number of unfinished attempts that this sidecar admitted; the groups that it leads are processing them. */
   | { readonly type: 'workChanged'; readonly now: Milliseconds; readonly running: number }
-  /** Whether some lead, here or elsewhere, may still count on this host. */
+  /** Whether any lead, on this or another host, may still hold a lease on this host. */
   | { readonly type: 'holdChanged'; readonly now: Milliseconds; readonly isHeld: boolean }
   | { readonly type: 'ticked'; readonly now: Milliseconds };
 
-/** What a planned stop asks of the shell. */
+/** Effects that the caller must carry out. */
 export type DrainEffect =
-  /** Admit nothing more, ask the leads of this host's groups to drain them, tell control. */
+  /** Stop admitting attempts, ask the leads of this host's groups to drain them, and notify control. */
   | { readonly type: 'refuseNewWork' }
-  /** Hand back the leases of the groups that this sidecar leads. */
+  /** Release the leases of the groups that this sidecar leads. */
   | { readonly type: 'dissolveGroups' }
-  /** End what is left: the hard limit has come. */
-  | { readonly type: 'cutOff' }
-  /** Say good-bye to control, then stop. */
+  /** Abort the remaining attempts: the hard limit has passed. */
+  | { readonly type: 'abortAttempts' }
+  /** Tell control that this host is leaving, then stop. */
   | { readonly type: 'leave' }
   | { readonly type: 'wake'; readonly at: Milliseconds };
 
-/** Stops a sidecar without cutting off a request: drain, hand back, leave. */
+/** Stops a sidecar without interrupting requests: drains, releases leases, then leaves. */
 export class DrainController implements Controller<DrainEvent, DrainEffect> {
   readonly #hardLimit: Milliseconds;
   #snapshot: DrainSnapshot = initialTransition(drainMachine)[0];
-  /** Undefined until told: a stop that took the unknown for nothing would leave with work in flight. */
-  #running: number | undefined;
+  /** Undefined until first reported. Treating unknown as zero would let a shutdown finish with attempts in flight. */
+  #runningCount: number | undefined;
   #isHeld: boolean | undefined;
-  #limitAt: Milliseconds = Infinity;
+  #deadline: Milliseconds = Infinity;
 
-  /** `hardLimit` bounds the whole stop; infinite where the operators set none. */
+  /** `hardLimit` bounds the whole shutdown; it is Infinity if the operators set no limit. */
   constructor(hardLimit: Milliseconds) {
     this.#hardLimit = hardLimit;
   }
@@ -52,13 +52,13 @@
       case 'stopRequested':
         return this.#stop(event.now);
       case 'workChanged':
-        this.#running = event.running;
-        return this.#proceed(event.now);
+        this.#runningCount = event.running;
+        return this.#advance(event.now);
       case 'holdChanged':
         this.#isHeld = event.isHeld;
-        return this.#proceed(event.now);
+        return this.#advance(event.now);
       case 'ticked':
-        return this.#proceed(event.now);
+        return this.#advance(event.now);
       default:
         return assertNever(event);
     }
@@ -68,38 +68,42 @@
     if (this.state !== 'serving') {
       return [];
     }
-    this.#limitAt = now + this.#hardLimit;
-    this.#step({ type: 'stopRequested' });
-    return [{ type: 'refuseNewWork' }, { type: 'wake', at: this.#limitAt }, ...this.#proceed(now)];
+    this.#deadline = now + this.#hardLimit;
+    this.#transition({ type: 'stopRequested' });
+    return [{ type: 'refuseNewWork' }, { type: 'wake', at: this.#deadline }, ...this.#advance(now)];
   }
 
-  /** Goes as many steps as the present state of work and leases allows. */
-  #proceed(now: Milliseconds): readonly DrainEffect[] {
+  /** Advances as many states as the running attempts and the leases allow. */
+  #advance(now: Milliseconds): readonly DrainEffect[] {
     const effects: DrainEffect[] = [];
-    for (let event = this.#findStep(now); event !== undefined; event = this.#findStep(now)) {
+    for (
+      let event = this.#findNextEvent(now);
+      event !== undefined;
+      event = this.#findNextEvent(now)
+    ) {
       const before = this.state;
-      this.#step(event);
+      this.#transition(event);
       effects.push(...listEntryEffects(before, this.state));
     }
     return effects;
   }
 
-  #findStep(now: Milliseconds): DrainMachineEvent | undefined {
-    const isOverLimit = now >= this.#limitAt;
+  #findNextEvent(now: Milliseconds): DrainMachineEvent | undefined {
+    const isOverLimit = now >= this.#deadline;
     switch (this.state) {
       case 'serving':
       case 'left':
         return undefined;
       case 'draining':
-        if (this.#running === 0) {
+        if (this.#runningCount === 0) {
           return { type: 'workEnded' };
         }
         return isOverLimit ? { type: 'limitReached' } : undefined;
-      case 'cutting':
-        return this.#running === 0 ? { type: 'workEnded' } : undefined;
-      case 'handingBack':
+      case 'abortingAttempts':
+        return this.#runningCount === 0 ? { type: 'workEnded' } : undefined;
+      case 'releasingLeases':
         if (this.#isHeld === false) {
-          return { type: 'freed' };
+          return { type: 'holdReleased' };
         }
         return isOverLimit ? { type: 'limitReached' } : undefined;
       default:
@@ -107,7 +111,7 @@
     }
   }
 
-  #step(event: DrainMachineEvent): void {
+  #transition(event: DrainMachineEvent): void {
     [this.#snapshot] = transition(drainMachine, this.#snapshot, event);
   }
 }
@@ -117,10 +121,10 @@
     return [];
   }
   switch (after) {
-    case 'handingBack':
+    case 'releasingLeases':
       return [{ type: 'dissolveGroups' }];
-    case 'cutting':
-      return [{ type: 'cutOff' }];
+    case 'abortingAttempts':
+      return [{ type: 'abortAttempts' }];
     case 'left':
       return [{ type: 'leave' }];
     case 'serving':
--- a/src/sidecar/drain/drain-machine.ts
+++ b/src/sidecar/drain/drain-machine.ts
@@ -1,14 +1,14 @@
 import { setup, type SnapshotFrom } from 'xstate';
 
-/** Life cycle of a planned stop; stepped by xstate's pure transition. */
+/** State machine of a graceful shutdown; advanced by xstate's pure `transition`. */
 
-/** What moves a planned stop on. */
+/** Events that advance a graceful shutdown. */
 export type DrainMachineEvent =
   | { readonly type: 'stopRequested' }
-  /** No attempt that this sidecar admitted is left. */
+  /** All attempts that this sidecar admitted have ended. */
   | { readonly type: 'workEnded' }
-  /** No lead may count on this host any more. */
-  | { readonly type: 'freed' }
+  /** No lead can hold a lease on this host any more. */
+  | { readonly type: 'holdReleased' }
   | { readonly type: 'limitReached' };
 
 export const drainMachine = setup({
@@ -18,12 +18,12 @@
   initial: 'serving',
   states: {
     serving: { on: { stopRequested: 'draining' } },
-    /** The groups of this host take no new work; what they have goes on. */
-    draining: { on: { workEnded: 'handingBack', limitReached: 'cutting' } },
-    /** The groups that this host leads are given up; those that others lead are waited for. */
-    handingBack: { on: { freed: 'left', limitReached: 'left' } },
-    /** The operators' hard limit goes before the work that is left. */
-    cutting: { on: { workEnded: 'handingBack', freed: 'left' } },
+    /** The groups of this host admit no new attempts; running ones continue. */
+    draining: { on: { workEnded: 'releasingLeases', limitReached: 'abortingAttempts' } },
+    /** Releases the leases of groups led here and waits for leases that other leads hold on this host. */
+    releasingLeases: { on: { holdReleased: 'left', limitReached: 'left' } },
+    /** The operators' hard limit has passed: the remaining attempts are aborted. */
+    abortingAttempts: { on: { workEnded: 'releasingLeases', holdReleased: 'left' } },
     left: { type: 'final' },
   },
 });
--- a/src/sidecar/engine/driver-metrics.ts
+++ b/src/sidecar/engine/driver-metrics.ts
@@ -3,15 +3,15 @@
 import type { Milliseconds } from '../../common/index.js';
 import type { EngineOrder, OrderOutcome } from './engine-port.js';
 
-/** What a sidecar counts of the engine beside it; docs/METRICS.md lists the names. */
+/** Metrics of the sidecar's local engine; docs/METRICS.md lists the names. */
 
 const millisecondsPerSecond = 1000;
-/** Bounds in seconds: an order is answered within milliseconds, or not before it is given up. */
-const orderBuckets = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5];
+/** In seconds. An order is either answered within milliseconds or times out. */
+const orderDurationBuckets = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5];
 
 export class DriverMetrics {
   readonly #orders: Counter<'order' | 'outcome'>;
-  readonly #orderTime: Histogram<'order'>;
+  readonly #orderDuration: Histogram<'order'>;
   readonly #instances: Counter;
   readonly #unanswered: Counter;
   readonly #unreadable: Counter;
@@ -24,11 +24,11 @@
       labelNames: ['order', 'outcome'],
       registers,
     });
-    this.#orderTime = new Histogram({
+    this.#orderDuration = new Histogram({
       name: 'pistachiospoke_engine_order_seconds',
       help: 'Time until an order was answered or given up.',
       labelNames: ['order'],
-      buckets: orderBuckets,
+      buckets: orderDurationBuckets,
       registers,
     });
     this.#instances = new Counter({
@@ -48,17 +48,17 @@
     });
   }
 
-  noteOrder({ type }: EngineOrder, outcome: OrderOutcome, took: Milliseconds): void {
+  recordOrder({ type }: EngineOrder, outcome: OrderOutcome, took: Milliseconds): void {
     this.#orders.inc({ order: type, outcome });
-    this.#orderTime.observe({ order: type }, took / millisecondsPerSecond);
+    this.#orderDuration.observe({ order: type }, took / millisecondsPerSecond);
   }
 
-  noteUnreadable(): void {
+  recordUnreadableAnswer(): void {
     this.#unreadable.inc();
   }
 
-  /** Another instance answers now, or none does. */
-  noteInstance(instance: string | undefined): void {
+  /** Called when another instance responds, or with undefined when none responds any more. */
+  recordInstanceChange(instance: string | undefined): void {
     if (instance === undefined) {
       this.#unanswered.inc();
     } else {
--- a/src/sidecar/engine/engine-controller.ts
+++ b/src/sidecar/engine/engine-controller.ts
@@ -10,43 +10,43 @@
 } from '../../routing/index.js';
 import type { EngineOrder } from './engine-port.js';
 
-/** Decides what the engine beside a sidecar is ordered; free of I/O. */
+/** Decides which orders a sidecar sends to its local engine; performs no I/O. */
 
 /**
- * An order whose effect does not show is sent again after this time: its answer, or the order itself, may have been lost.
- * Every order names its group and fencing number, so a second copy changes nothing.
+ * An order without visible effect is resent after this interval, because the order or its answer may have been lost.
+ * Resending is safe: orders name their group and fencing number, so a duplicate changes nothing.
  */
-const repeatAfter: Milliseconds = 250;
+const resendInterval: Milliseconds = 250;
 /**
- * What an engine last said is believed for this long while its answers cannot be read; as long as control believes a report of a sidecar that
- * fell silent. Taken for the end of the engine at once, one spoilt answer would dissolve a group that serves.
+ * The last reading stays valid for this long while responses are unreadable; control trusts the last report of a silent sidecar for the
+ * same time. Treating the first corrupted response as the end of the engine would dissolve a serving group.
  */
-const longestUnreadable: Milliseconds = 3000;
+const unreadableTimeout: Milliseconds = 3000;
 /**
- * One answer may be lost. An engine that gives none for this long, which is at least two questions, is reported as silent: its group is
- * closed, because a member that does not answer holds up every stream of the group.
+ * A single response may be lost. An engine that does not respond for this long, which covers at least two polls, is reported as silent.
+ * Its group is then closed, because an unresponsive member stalls every stream of the group.
  */
-const longestUnanswered: Milliseconds = 500;
+const silenceTimeout: Milliseconds = 500;
 
-/** What happens to the controller. */
+/** Input events of the controller. */
 export type EngineEvent =
   | { readonly type: 'read'; readonly now: Milliseconds; readonly reading: EngineReading }
-  /** Something answers at the engine's address, and says nothing that can be read. */
+  /** A response arrived from the engine's address but could not be parsed. */
   | { readonly type: 'unreadable'; readonly now: Milliseconds }
-  /** No answer came in time, or its connection broke. */
+  /** The request timed out or its connection broke. */
   | { readonly type: 'unanswered'; readonly now: Milliseconds }
-  /** It answers, and which instance it is could not be found out. */
+  /** The engine responds, but its instance id could not be determined. */
   | { readonly type: 'notIdentified' }
-  /** Nothing listens at the engine's address. */
+  /** Nothing listens on the engine's address. */
   | { readonly type: 'refused' }
-  /** The placed group that this host is a member of. */
+  /** The placed group that this host is a member of; undefined if there is none. */
   | { readonly type: 'assigned'; readonly group: EngineGroup | undefined }
-  /** The model that the leader of control wants staged here. */
+  /** The model that the control leader wants staged on this host. */
   | { readonly type: 'stagingWanted'; readonly model: string | undefined };
 
 interface SentOrder {
   readonly key: string;
-  readonly at: Milliseconds;
+  readonly sentAt: Milliseconds;
 }
 
 export class EngineController {
@@ -55,33 +55,33 @@
   #absence: EngineAbsence = 'notAsked';
   #readAt: Milliseconds = Number.NEGATIVE_INFINITY;
   #unansweredSince: Milliseconds | undefined;
-  /** The instance that was read last, also while nothing is known of it; undefined once it has ended. */
+  /** The instance of the last reading, kept while there is no current reading; undefined once the engine has terminated. */
   #instance: InstanceIdentity | undefined;
   #group: EngineGroup | undefined;
   #stagingModel: string | undefined;
   #lastModel: string | undefined;
-  #sent: SentOrder | undefined;
+  #lastSent: SentOrder | undefined;
 
   constructor(host: string) {
     this.#host = host;
   }
 
-  /** Undefined while nothing is known of the engine. */
+  /** The current reading; undefined while the state of the engine is unknown. */
   get reading(): EngineReading | undefined {
     return this.#reading;
   }
 
-  /** Why there is no reading; undefined where there is one. */
+  /** Why there is no reading; undefined if there is one. */
   get absence(): EngineAbsence | undefined {
     return this.#reading === undefined ? this.#absence : undefined;
   }
 
-  /** Model of the last group that the engine was ready in since it started. */
+  /** Model of the last group in which the engine has been ready since it started. */
   get lastModel(): string | undefined {
     return this.#lastModel;
   }
 
-  /** Whether the engine is on its way into or out of a group, so that it is worth asking it more often. */
+  /** Whether the engine is joining, opening, closing or draining a group and should be polled more often. */
   get isChanging(): boolean {
     const state = this.#findMembership()?.state;
     switch (this.#group?.phase) {
@@ -99,31 +99,31 @@
     }
   }
 
-  /** Takes an event; answers the order to send now, if any. */
+  /** Handles an event and returns the order to send now, if any. */
   handle(event: EngineEvent): EngineOrder | undefined {
     switch (event.type) {
       case 'read':
         this.#unansweredSince = undefined;
-        this.#takeReading(event.reading);
+        this.#applyReading(event.reading);
         this.#readAt = event.now;
         return this.#decide(event.now);
       case 'unreadable':
         this.#unansweredSince = undefined;
-        if (event.now - this.#readAt > longestUnreadable) {
-          this.#forgetReading('unreadable');
+        if (event.now - this.#readAt > unreadableTimeout) {
+          this.#clearReading('unreadable');
         }
         return undefined;
       case 'unanswered':
-        this.#takeUnanswered(event.now);
+        this.#handleUnanswered(event.now);
         return undefined;
       case 'notIdentified':
         this.#unansweredSince = undefined;
-        this.#forgetReading('notIdentified');
+        this.#clearReading('notIdentified');
         return undefined;
       case 'refused':
         this.#unansweredSince = undefined;
-        this.#forgetReading('refused');
-        this.#forgetInstance(undefined);
+        this.#clearReading('refused');
+        this.#resetInstance(undefined);
         return undefined;
       case 'assigned':
         this.#group = event.group;
@@ -134,27 +134,27 @@
     }
   }
 
-  #takeUnanswered(now: Milliseconds): void {
+  #handleUnanswered(now: Milliseconds): void {
     this.#unansweredSince ??= now;
-    const isSilent = now - this.#unansweredSince >= longestUnanswered;
-    this.#forgetReading(isSilent ? 'silent' : 'unanswered');
+    const isSilent = now - this.#unansweredSince >= silenceTimeout;
+    this.#clearReading(isSilent ? 'silent' : 'unanswered');
   }
 
-  /** What it said before may be over; that nothing newer is known does not mean that the engine is. */
-  #forgetReading(absence: EngineAbsence): void {
+  /** Discards the outdated reading but keeps the instance: a missing response does not prove that the engine has terminated. */
+  #clearReading(absence: EngineAbsence): void {
     this.#absence = absence;
     this.#reading = undefined;
   }
 
-  #forgetInstance(next: InstanceIdentity | undefined): void {
+  #resetInstance(next: InstanceIdentity | undefined): void {
     this.#instance = next;
     this.#lastModel = undefined;
-    this.#sent = undefined;
+    this.#lastSent = undefined;
   }
 
-  #takeReading(reading: EngineReading): void {
+  #applyReading(reading: EngineReading): void {
     if (this.#instance === undefined || !isSameStart(reading.instance, this.#instance)) {
-      this.#forgetInstance(reading.instance);
+      this.#resetInstance(reading.instance);
     }
     this.#reading = reading;
     const membership = this.#findMembership();
@@ -169,17 +169,17 @@
       return undefined;
     }
     const key = JSON.stringify(order);
-    if (this.#sent?.key === key && now - this.#sent.at < repeatAfter) {
+    if (this.#lastSent?.key === key && now - this.#lastSent.sentAt < resendInterval) {
       return undefined;
     }
-    this.#sent = { key, at: now };
+    this.#lastSent = { key, sentAt: now };
     return order;
   }
 
   #chooseOrder(): EngineOrder | undefined {
     const group = this.#group;
     if (group === undefined || !this.#isMember(group)) {
-      return this.#chooseStaging();
+      return this.#chooseStagingOrder();
     }
     const membership = this.#findMembership();
     const { name, fencingNumber } = group;
@@ -188,25 +188,25 @@
         const members = group.members.map(({ instance }) => instance.id);
         return membership === undefined
           ? { type: 'join', group: name, fencingNumber, model: group.model, members }
-          : this.#chooseStaging();
+          : this.#chooseStagingOrder();
       }
       case 'opening':
         return this.#isHead() && membership?.state === 'ready'
           ? { type: 'open', group: name, fencingNumber }
           : undefined;
       case 'closing':
-        return this.#chooseClosing(membership);
+        return this.#chooseClosingOrder(membership);
       case 'open':
       case 'draining':
-        return this.#chooseStaging();
+        return this.#chooseStagingOrder();
     }
   }
 
   /**
-   * The head closes and then leaves: an order to open that was lost on its way could otherwise open the group again after its
-   * members have gone to other groups.
+   * The head closes and then leaves the group. Otherwise a delayed open order could reopen the group after its members have
+   * joined other groups.
    */
-  #chooseClosing(membership: EngineMembership | undefined): EngineOrder | undefined {
+  #chooseClosingOrder(membership: EngineMembership | undefined): EngineOrder | undefined {
     if (!this.#isHead() || membership === undefined) {
       return undefined;
     }
@@ -223,7 +223,7 @@
     }
   }
 
-  #chooseStaging(): EngineOrder | undefined {
+  #chooseStagingOrder(): EngineOrder | undefined {
     const model = this.#stagingModel;
     const reading = this.#reading;
     if (model === undefined || reading === undefined || reading.isBusy) {
--- a/src/sidecar/engine/engine-driver.ts
+++ b/src/sidecar/engine/engine-driver.ts
@@ -19,16 +19,16 @@
 import { EngineController, type EngineEvent } from './engine-controller.js';
 import type { EngineOrder, EnginePort, EngineStatus } from './engine-port.js';
 
-/** Asks the engine beside a sidecar how it is, and carries out what the controller decides. */
+/** Polls the local engine for its status and sends the orders that the controller decides on. */
 
-/** The connection to an engine that ends closes at once, and that wakes the driver; this is for what no connection shows. */
-const restingInterval: Milliseconds = 400;
-/** While nothing is known of an engine that may serve, its group can be neither used nor given up with good reason. */
-const unknownInterval: Milliseconds = 100;
-/** While the engine changes groups, each wait is time in which nobody is served. */
-const changingInterval: Milliseconds = 20;
-/** Lines about questions that brought nothing: one tells what is wrong, and an engine is asked up to fifty times a second. */
-const questionLines = { burst: 5, perSecond: 0.2 };
+/** A terminating engine closes its connection, which triggers a poll at once. This interval covers changes that no connection shows. */
+const idlePollInterval: Milliseconds = 400;
+/** Without a reading of an engine that may be serving, its group can neither be used nor safely be given up. */
+const unknownStatePollInterval: Milliseconds = 100;
+/** While the engine changes groups it serves no requests, so every wait adds to the downtime. */
+const transitionPollInterval: Milliseconds = 20;
+/** Rate limit for logging failed polls: one line shows the problem, and an engine is polled up to 50 times a second. */
+const failureLogLimit = { burst: 5, perSecond: 0.2 };
 
 /** Options of the driver. */
 export interface EngineDriverOptions {
@@ -37,7 +37,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: DriverMetrics;
-  /** Called after each answer of the engine, and when it stops answering. */
+  /** Called after each poll, whether or not the engine answered. */
   readonly onReading: () => void;
 }
 
@@ -52,19 +52,19 @@
   readonly #options: EngineDriverOptions;
   readonly #controller: EngineController;
   readonly #closing = new AbortController();
-  readonly #unreadable: BoundedLog;
-  readonly #unanswered: BoundedLog;
+  readonly #unreadableLog: BoundedLog;
+  readonly #unansweredLog: BoundedLog;
   #instance: KnownInstance | undefined;
-  #wake = new AbortController();
+  #waitAbort = new AbortController();
   #running: Promise<void> | undefined;
 
   constructor(options: EngineDriverOptions) {
     this.#options = options;
     this.#controller = new EngineController(options.host);
-    this.#unreadable = new BoundedLog(options.logger, options.clock, questionLines);
-    this.#unanswered = new BoundedLog(options.logger, options.clock, questionLines);
+    this.#unreadableLog = new BoundedLog(options.logger, options.clock, failureLogLimit);
+    this.#unansweredLog = new BoundedLog(options.logger, options.clock, failureLogLimit);
     options.port.onDisconnect(() => {
-      this.#wake.abort();
+      this.#waitAbort.abort();
     });
   }
 
@@ -86,85 +86,88 @@
 
   async close(): Promise<void> {
     this.#closing.abort();
-    this.#wake.abort();
+    this.#waitAbort.abort();
     await this.#running;
     await this.#options.port.close();
   }
 
-  /** Takes the placed group of this host; the engine is asked at once. */
-  assign(group: EngineGroup | undefined): void {
+  /** Sets the group placed on this host and polls the engine at once. */
+  assignGroup(group: EngineGroup | undefined): void {
     this.#controller.handle({ type: 'assigned', group });
-    this.#wake.abort();
+    this.#waitAbort.abort();
   }
 
-  wantStaged(model: string | undefined): void {
+  setStagingModel(model: string | undefined): void {
     this.#controller.handle({ type: 'stagingWanted', model });
   }
 
   async #run(): Promise<void> {
     while (!this.#closing.signal.aborted) {
-      this.#wake = new AbortController();
-      const order = this.#handle(await this.#read());
+      this.#waitAbort = new AbortController();
+      const order = this.#handle(await this.#poll());
       this.#options.onReading();
       if (order !== undefined) {
-        await this.#order(order);
+        await this.#sendOrder(order);
       } else {
-        await this.#rest();
+        await this.#waitForNextPoll();
       }
     }
   }
 
-  async #rest(): Promise<void> {
-    await pause(this.#chooseInterval(), this.#wake.signal);
+  async #waitForNextPoll(): Promise<void> {
+    await pause(this.#choosePollInterval(), this.#waitAbort.signal);
   }
 
-  #chooseInterval(): Milliseconds {
+  #choosePollInterval(): Milliseconds {
     switch (this.#controller.absence) {
       case undefined:
-        return this.#controller.isChanging ? changingInterval : restingInterval;
+        return this.#controller.isChanging ? transitionPollInterval : idlePollInterval;
       case 'notAsked':
       case 'notIdentified':
       case 'unanswered':
-        return unknownInterval;
+        return unknownStatePollInterval;
       case 'silent':
       case 'unreadable':
       case 'refused':
-        return restingInterval;
+        return idlePollInterval;
     }
   }
 
   #handle(event: EngineEvent): EngineOrder | undefined {
-    const { reading: before, absence: absenceBefore } = this.#controller;
+    const { reading: before, absence: previousAbsence } = this.#controller;
     const order = this.#controller.handle(event);
     const { reading: after, absence } = this.#controller;
     const { logger, metrics } = this.#options;
     const identities = { before: describeInstance(before), now: describeInstance(after) };
     if (identities.before !== identities.now) {
-      metrics.noteInstance(identities.now);
+      metrics.recordInstanceChange(identities.now);
       logger.info({ ...identities, absence }, 'engine instance changed');
-    } else if (absence !== absenceBefore) {
-      logger.info({ before: absenceBefore, absence }, 'engine still not read');
+    } else if (absence !== previousAbsence) {
+      logger.info(
+        { before: previousAbsence, absence },
+        'engine status still unavailable; reason changed',
+      );
     }
-    const describe = (reading: EngineReading | undefined): string =>
+    const describeMembership = (reading: EngineReading | undefined): string =>
       JSON.stringify(reading?.membership);
-    if (describe(before) !== describe(after)) {
+    if (describeMembership(before) !== describeMembership(after)) {
       logger.info({ before: before?.membership, now: after?.membership }, 'membership changed');
     }
     return order;
   }
 
-  async #read(): Promise<EngineEvent> {
+  async #poll(): Promise<EngineEvent> {
     const { port, clock, metrics } = this.#options;
     const answer = await port.readStatus();
     switch (answer.type) {
       case 'status':
-        return this.#describe(answer);
+        return this.#createReadEvent(answer);
       case 'unreadable':
-        metrics.noteUnreadable();
-        this.#unreadable.note({ reason: answer.reason }, 'the answer of the engine cannot be read');
+        metrics.recordUnreadableAnswer();
+        this.#unreadableLog.note({ reason: answer.reason }, 'invalid status response from engine');
         return { type: 'unreadable', now: clock.monotonic() };
       case 'unanswered':
-        this.#unanswered.note({ reason: answer.reason }, 'the engine did not answer');
+        this.#unansweredLog.note({ reason: answer.reason }, 'engine status request failed');
         this.#instance = undefined;
         return { type: 'unanswered', now: clock.monotonic() };
       case 'refused':
@@ -173,10 +176,10 @@
     }
   }
 
-  async #describe(status: EngineStatus): Promise<EngineEvent> {
+  async #createReadEvent(status: EngineStatus): Promise<EngineEvent> {
     const instance = await this.#identify(status);
     if (instance === undefined) {
-      this.#unanswered.note({}, 'the engine answers and did not say which instance it is');
+      this.#unansweredLog.note({}, 'engine responds but its instance id could not be read');
       return { type: 'notIdentified' };
     }
     const now = this.#options.clock.monotonic();
@@ -184,8 +187,8 @@
   }
 
   /**
-   * Asks for the id only when it may be another instance: the question takes a slot of the engine. One that started again under its id
-   * says so by the time of its start, also on a connection that a proxy kept open.
+   * Requests the id only when the instance may have changed, because the request takes up a slot of the engine. An engine that restarted
+   * under the same id is recognized by its start time, even on a connection that a proxy kept open.
    */
   async #identify(status: EngineStatus): Promise<InstanceIdentity | undefined> {
     const { connection, orderCount, startedAt } = status;
@@ -194,12 +197,12 @@
       known?.connection === connection &&
       orderCount >= known.orderCount &&
       startedAt === known.identity.startedAt;
-    const identity = isSame ? known.identity : await this.#askIdentity(startedAt);
+    const identity = isSame ? known.identity : await this.#fetchIdentity(startedAt);
     this.#instance = identity === undefined ? undefined : { identity, connection, orderCount };
     return identity;
   }
 
-  async #askIdentity(startedAt: WallTime | undefined): Promise<InstanceIdentity | undefined> {
+  async #fetchIdentity(startedAt: WallTime | undefined): Promise<InstanceIdentity | undefined> {
     const id = await this.#options.port.readInstance();
     if (id === undefined) {
       return undefined;
@@ -207,13 +210,13 @@
     return startedAt === undefined ? { id } : { id, startedAt };
   }
 
-  async #order(order: EngineOrder): Promise<void> {
+  async #sendOrder(order: EngineOrder): Promise<void> {
     const { port, clock, logger, metrics } = this.#options;
     const startedAt = clock.monotonic();
     const outcome = await port.order(order);
     const took = Math.round(clock.monotonic() - startedAt);
-    metrics.noteOrder(order, outcome, took);
-    logger.info({ order, outcome, took }, 'engine ordered');
+    metrics.recordOrder(order, outcome, took);
+    logger.info({ order, outcome, took }, 'order sent to engine');
   }
 }
 
--- a/src/sidecar/engine/engine-port.ts
+++ b/src/sidecar/engine/engine-port.ts
@@ -1,16 +1,16 @@
 import type { WallTime } from '../../common/index.js';
 import type { EngineReading } from '../../routing/index.js';
 
-/** What a sidecar needs of the engine beside it; an adapter translates it to the engine's own protocol. */
+/** Interface between a sidecar and its local engine. An adapter translates it to the engine's own protocol. */
 
-/** An order to an engine; each names the group that it is for, and affects no other. */
+/** An order to an engine. Orders about a group name it and affect no other group. */
 export type EngineOrder =
   | {
       readonly type: 'join';
       readonly group: string;
       readonly fencingNumber: number;
       readonly model: string;
-      /** Ids of the instances of all members, the head first. */
+      /** Instance ids of all members, the head first. */
       readonly members: readonly string[];
     }
   | { readonly type: 'open'; readonly group: string; readonly fencingNumber: number }
@@ -19,26 +19,26 @@
   | { readonly type: 'stage'; readonly model: string };
 
 /**
- * What became of an order. `unanswered`: it may have been taken, or may be carried out seconds later.
- * `unfit`: it does not fit the state of the engine now. `outdated`: a newer one was taken before it.
+ * Result of an order. `unanswered`: the engine may have accepted it, or may still execute it seconds later.
+ * `unfit`: not valid in the current state of the engine. `outdated`: the engine has already accepted a newer order.
  */
 export type OrderOutcome = 'accepted' | 'unfit' | 'outdated' | 'unanswered';
 
-/** What an engine says of itself, without its id. */
+/** Status that an engine reports, without its id. */
 export interface EngineStatus {
   readonly type: 'status';
   readonly state: Omit<EngineReading, 'instance'>;
-  /** When it started, by its own clock; undefined where it does not say. */
+  /** Start time by the engine's own clock; undefined if the engine does not report it. */
   readonly startedAt: WallTime | undefined;
-  /** Orders that it has begun since it started; it falls when the engine was started again. */
+  /** Number of orders begun since the engine started. A lower value than before means that the engine was restarted. */
   readonly orderCount: number;
-  /** Grows with every connection to the engine: behind a new one there may be another instance. */
+  /** Increases with every new connection to the engine, because a new connection may lead to another instance. */
   readonly connection: number;
 }
 
 /**
- * What came of asking an engine. `unreadable`: something answered, in a way that says nothing of the engine. `unanswered`: no answer came
- * in time, or its connection broke. `refused`: nothing listens there.
+ * Result of a status request. `unreadable`: a response arrived that carries no valid status. `unanswered`: the request timed out or its
+ * connection broke. `refused`: nothing listens on the address.
  */
 export type EngineAnswer =
   | EngineStatus
@@ -46,15 +46,15 @@
   | { readonly type: 'unanswered'; readonly reason: string }
   | { readonly type: 'refused' };
 
-/** The engine beside a sidecar. */
+/** Client of the sidecar's local engine. */
 export interface EnginePort {
   /** `ip:port`. */
   readonly address: string;
   readonly readStatus: () => Promise<EngineAnswer>;
-  /** Id of the instance that answers; undefined when none does. */
+  /** Id of the instance that responds; undefined if none does. */
   readonly readInstance: () => Promise<string | undefined>;
   readonly order: (order: EngineOrder) => Promise<OrderOutcome>;
-  /** Called back when the connection to the engine closes: it may just have ended. */
+  /** Registers a listener for closed connections: the engine may just have terminated. */
   readonly onDisconnect: (listener: () => void) => void;
   readonly close: () => Promise<void>;
 }
--- a/src/sidecar/engine/engine-reporter.ts
+++ b/src/sidecar/engine/engine-reporter.ts
@@ -17,29 +17,29 @@
 import { ReconnectPacing } from '../../watch/index.js';
 import { MessageQueue, StreamSilence, type RpcClientPool } from '../../wire/index.js';
 
-/** Reports on the engine to the leader of control: what changed at once, otherwise a small heartbeat. */
+/** Reports engine facts to the control leader: changes at once, otherwise small periodic heartbeats. */
 
 const heartbeatInterval: Milliseconds = 1000;
-/** Load changes with every question; the leader has no use for it more often than it gets a heartbeat. */
+/** Load changes with every request; the leader does not need it more often than once per heartbeat. */
 const loadInterval: Milliseconds = 1000;
-/** While a group drains, the leader waits for its head to be idle. */
+/** While a group drains, the leader waits for the head to become idle, so load is reported more often. */
 const drainingLoadInterval: Milliseconds = 50;
-/** A leader answers each report; without an answer for two heartbeats the connection is lost. */
-const silenceLimit: Milliseconds = 2500;
-const longestReconnectDelay: Milliseconds = 500;
-/** While no leader is known there is nobody to report to. */
-const leaderlessDelay: Milliseconds = 50;
+/** The leader answers each report. Two heartbeats without an answer mean that the connection is lost. */
+const acknowledgementTimeout: Milliseconds = 2500;
+const maxReconnectDelay: Milliseconds = 500;
+/** Delay before looking for a leader again while none is known. */
+const leaderLookupDelay: Milliseconds = 50;
 
 /** Options of the reporter. */
 export interface EngineReporterOptions {
   readonly host: string;
   readonly incarnation: string;
-  /** `ip:port` of the leader; empty while none is known. */
+  /** Returns the `ip:port` of the leader, or an empty string while none is known. */
   readonly findLeader: () => string;
   readonly describe: () => EngineFacts;
-  /** Whether the leader waits for this engine to be idle. */
+  /** Whether the leader is waiting for this engine to become idle. */
   readonly isDraining: () => boolean;
-  /** Told which model the leader wants staged. */
+  /** Called with the model that the leader wants staged. */
   readonly onStaging: (model: string | undefined) => void;
   readonly clients: RpcClientPool;
   readonly clock: Clock;
@@ -56,47 +56,47 @@
   #stream: AbortController | undefined;
   #leader = '';
   #sequence = 0;
-  /** What was last sent on this stream, without the load and with it. */
-  #sentState = '';
-  #sentFacts = '';
-  #sentAt: Milliseconds = 0;
-  #timer: NodeJS.Timeout | undefined;
+  /** The facts last sent on this stream, without and with the load. */
+  #lastSentState = '';
+  #lastSentFacts = '';
+  #lastSentAt: Milliseconds = 0;
+  #heartbeatTimer: NodeJS.Timeout | undefined;
   readonly #silence: StreamSilence;
   #running: Promise<void> | undefined;
 
   constructor(options: EngineReporterOptions) {
     this.#options = options;
-    this.#pacing = new ReconnectPacing(options.random, longestReconnectDelay);
-    this.#silence = new StreamSilence(options.clients, silenceLimit);
+    this.#pacing = new ReconnectPacing(options.random, maxReconnectDelay);
+    this.#silence = new StreamSilence(options.clients, acknowledgementTimeout);
   }
 
   open(): void {
-    this.#timer = setInterval(() => {
+    this.#heartbeatTimer = setInterval(() => {
       this.#send(this.#options.describe());
     }, heartbeatInterval);
     this.#running = this.#run();
   }
 
   async close(): Promise<void> {
-    clearInterval(this.#timer);
+    clearInterval(this.#heartbeatTimer);
     this.#closing.abort();
     this.#queue?.close();
     this.#stream?.abort();
     await this.#running;
   }
 
-  /** Sends at once what changed; a change of the load alone waits a little. */
+  /** Sends changed facts at once; changes of load alone are rate limited. */
   notify(): void {
     const facts = this.#options.describe();
     const interval = this.#options.isDraining() ? drainingLoadInterval : loadInterval;
-    const isDue = this.#options.clock.monotonic() - this.#sentAt >= interval;
-    const isLoadNew = isDue && JSON.stringify(facts) !== this.#sentFacts;
-    if (describeState(facts) !== this.#sentState || isLoadNew) {
+    const isDue = this.#options.clock.monotonic() - this.#lastSentAt >= interval;
+    const isLoadNew = isDue && JSON.stringify(facts) !== this.#lastSentFacts;
+    if (serializeWithoutLoad(facts) !== this.#lastSentState || isLoadNew) {
       this.#send(facts);
     }
   }
 
-  /** Another leader: the stream to the one before is of no use. */
+  /** Closes the stream to the previous leader after a change of leader. */
   followLeader(): void {
     if (this.#options.findLeader() !== this.#leader) {
       this.#queue?.close();
@@ -109,11 +109,11 @@
     while (!this.#isClosing()) {
       this.#leader = findLeader();
       if (this.#leader === '') {
-        await pause(leaderlessDelay, this.#closing.signal);
+        await pause(leaderLookupDelay, this.#closing.signal);
         continue;
       }
       try {
-        await this.#report(this.#leader);
+        await this.#runStream(this.#leader);
       } catch (error) {
         if (!this.#isClosing()) {
           logger.info({ leader: this.#leader, error: String(error) }, 'report stream ended');
@@ -127,12 +127,12 @@
     }
   }
 
-  async #report(leader: string): Promise<void> {
+  async #runStream(leader: string): Promise<void> {
     const stream = new AbortController();
     const queue = new MessageQueue<EngineReport>();
     this.#stream = stream;
     this.#queue = queue;
-    this.#sentFacts = '';
+    this.#lastSentFacts = '';
     this.#send(this.#options.describe());
     this.#silence.expect(leader, stream);
     const answers = this.#options.clients
@@ -161,17 +161,17 @@
         host,
         incarnation,
         sequence: BigInt(this.#sequence),
-        facts: text === this.#sentFacts ? '' : text,
+        facts: text === this.#lastSentFacts ? '' : text,
       }),
     );
-    this.#sentFacts = text;
-    this.#sentState = describeState(facts);
-    this.#sentAt = clock.monotonic();
+    this.#lastSentFacts = text;
+    this.#lastSentState = serializeWithoutLoad(facts);
+    this.#lastSentAt = clock.monotonic();
   }
 }
 
-/** All but the load. */
-function describeState(facts: EngineFacts): string {
+/** Serializes the facts without the load. */
+function serializeWithoutLoad(facts: EngineFacts): string {
   const { reading } = facts;
   return JSON.stringify({ ...facts, reading: { ...reading, running: 0, waiting: 0 } });
 }
--- a/src/sidecar/engine/engine-sidecar.ts
+++ b/src/sidecar/engine/engine-sidecar.ts
@@ -17,9 +17,9 @@
 import type { EnginePort } from './engine-port.js';
 import { EngineReporter } from './engine-reporter.js';
 
-/** Puts the parts of a sidecar together whose engine holds the membership of its group itself. */
+/** Assembles a sidecar for an engine that keeps track of its own group membership. */
 
-/** Options of such a sidecar. */
+/** Options of `createEngineSidecar`. */
 export interface EngineSidecarOptions {
   readonly settings: EngineSidecarSettings;
   readonly port: EnginePort;
@@ -28,7 +28,7 @@
   readonly logger: Logger;
 }
 
-/** A sidecar: its parts in the order in which they open, and what to do with changed settings. */
+/** A sidecar: its parts in opening order and a handler for changed settings. */
 export interface EngineSidecar {
   readonly parts: readonly ManagedPart[];
   readonly takeSettings: (settings: EngineSidecarSettings) => void;
@@ -51,7 +51,7 @@
       reporter.notify();
     },
   });
-  const describe = (): EngineFacts => ({
+  const readFacts = (): EngineFacts => ({
     failureDomain: settings.failureDomain,
     address: port.address,
     service: settings.service,
@@ -64,14 +64,14 @@
     host,
     incarnation: createIdentifier(),
     findLeader: () => watcher.read().leader,
-    describe,
+    describe: readFacts,
     isDraining: () => findGroup(watcher.read(), host)?.phase === 'draining',
     onStaging: (model) => {
-      driver.wantStaged(model);
+      driver.setStagingModel(model);
     },
   });
   watcher.subscribe((view) => {
-    driver.assign(findGroup(view, host));
+    driver.assignGroup(findGroup(view, host));
     reporter.followLeader();
   });
   const connections: ManagedPart = {
--- a/src/sidecar/orders/index.ts
+++ b/src/sidecar/orders/index.ts
@@ -1,10 +1,10 @@
 export { OrderController, type OrderEffect, type OrderEvent } from './order-controller.js';
 export {
   defaultOrderOptions,
-  describePlacement,
+  buildDesiredPlacement,
   type EngineOrder,
   type EngineOrderAction,
   type EngineRole,
-  type OrderedPlacement,
+  type DesiredPlacement,
   type OrderOptions,
 } from './orders.js';
--- a/src/sidecar/orders/order-controller.ts
+++ b/src/sidecar/orders/order-controller.ts
@@ -14,28 +14,28 @@
 } from '../../model/index.js';
 import { orderMachine, type OrderMachineEvent, type OrderSnapshot } from './order-machine.js';
 import {
-  chooseLoad,
+  chooseNextLoadAction,
   type EngineOrder,
   type EngineOrderAction,
-  type OrderedPlacement,
+  type DesiredPlacement,
   type OrderOptions,
 } from './orders.js';
 
-/** What the orders to an engine depend on; `now` is a reading of the sidecar's monotonic clock. */
+/** Input events of the order controller; `now` is a reading of the sidecar's monotonic clock. */
 export type OrderEvent =
-  /** The newest placement of this host; undefined once it has none. */
+  /** The newest placement of this host; undefined if it has none. */
   | {
       readonly type: 'placementChanged';
       readonly now: Milliseconds;
-      readonly placement: OrderedPlacement | undefined;
+      readonly placement: DesiredPlacement | undefined;
     }
-  /** What the engine announces; undefined while it is not there. */
+  /** The engine's latest announcement; undefined while the engine is absent. */
   | {
       readonly type: 'engineChanged';
       readonly now: Milliseconds;
       readonly engine: EngineUpstream | undefined;
     }
-  /** The placement whose lead may count on this host; undefined when none may. */
+  /** The placement whose lead may hold a lease on this host; undefined if there is none. */
   | {
       readonly type: 'holderChanged';
       readonly now: Milliseconds;
@@ -49,9 +49,9 @@
     }
   | { readonly type: 'ticked'; readonly now: Milliseconds };
 
-/** What the orders ask of the shell. */
+/** Effects that the caller must carry out. */
 export type OrderEffect =
-  /** Ask `isCurrent` again right before the bytes leave. */
+  /** Call `isCurrent` again immediately before sending. */
   | { readonly type: 'send'; readonly order: EngineOrder }
   | {
       readonly type: 'readinessChanged';
@@ -59,26 +59,26 @@
       readonly fencingNumber: FencingNumber;
       readonly isReady: boolean;
     }
-  /** The engine fails its orders again and again: the host is not fit to be a member. */
+  /** After repeated order failures the host is unfit to be a member of a group. */
   | { readonly type: 'fitnessChanged'; readonly isFit: boolean }
   | { readonly type: 'wake'; readonly at: Milliseconds };
 
-/** Brings the engine beside a sidecar to what the newest placement offers, one order at a time. */
+/** Brings the local engine to the state that the newest placement requires, one order at a time. */
 export class OrderController implements Controller<OrderEvent, OrderEffect> {
   readonly #options: OrderOptions;
   readonly #random: RandomSource;
-  #placement: OrderedPlacement | undefined;
+  #placement: DesiredPlacement | undefined;
   #highestFencingNumber: FencingNumber = 0;
   #engine: EngineUpstream | undefined;
   #holder: FencingNumber | undefined;
   #snapshot: OrderSnapshot = initialTransition(orderMachine)[0];
   #order: EngineOrder | undefined;
   #sequence = 0;
-  /** When the order under way has failed, or the next one may be sent. */
-  #dueAt: Milliseconds = Infinity;
-  /** Placement whose role the engine has taken. */
-  #roleOf: FencingNumber | undefined;
-  #readyFor: OrderedPlacement | undefined;
+  /** When the order in progress counts as failed, or when the next one may be sent after a back-off. */
+  #deadline: Milliseconds = Infinity;
+  /** Fencing number of the placement whose role the engine has accepted. */
+  #roleFencingNumber: FencingNumber | undefined;
+  #readyPlacement: DesiredPlacement | undefined;
   #isFit = true;
 
   constructor(options: OrderOptions, random: RandomSource) {
@@ -87,9 +87,9 @@
   }
 
   /**
-   * Whether an order may still leave: the check right before it does.
-   * An engine that ignores fencing numbers carries out whatever comes; a placement that changed while the order
-   * waited for a connection would be undone by it.
+   * Whether an order is still valid; called immediately before sending it.
+   * An engine that ignores fencing numbers executes every order, so an order that waited for a connection could undo
+   * a newer placement.
    */
   isCurrent(order: EngineOrder): boolean {
     return order === this.#order && !this.#isHeldByOther();
@@ -98,19 +98,19 @@
   handle(event: OrderEvent): readonly OrderEffect[] {
     switch (event.type) {
       case 'placementChanged':
-        this.#changePlacement(event.placement);
+        this.#updatePlacement(event.placement);
         break;
       case 'engineChanged':
-        this.#changeEngine(event.engine);
+        this.#updateEngine(event.engine);
         break;
       case 'holderChanged':
         this.#holder = event.holder;
         break;
       case 'orderAnswered':
-        this.#noteAnswer(event.sequence, event.outcome, event.now);
+        this.#handleAnswer(event.sequence, event.outcome, event.now);
         break;
       case 'ticked':
-        this.#checkTime(event.now);
+        this.#handleTick(event.now);
         break;
       default:
         assertNever(event);
@@ -118,8 +118,8 @@
     return this.#decide(event.now);
   }
 
-  /** A placement that is older than one seen before arrives late and does nothing. */
-  #changePlacement(placement: OrderedPlacement | undefined): void {
+  /** Ignores a placement that arrives late, that is, with a lower fencing number than one already seen. */
+  #updatePlacement(placement: DesiredPlacement | undefined): void {
     if (placement !== undefined && placement.fencingNumber < this.#highestFencingNumber) {
       return;
     }
@@ -128,19 +128,19 @@
     }
     this.#highestFencingNumber = placement?.fencingNumber ?? this.#highestFencingNumber;
     this.#placement = placement;
-    this.#drop();
+    this.#discard();
   }
 
-  /** An engine that went away forgets its role; one that comes back is told again. */
-  #changeEngine(engine: EngineUpstream | undefined): void {
+  /** An engine that disappears loses its role, so the role is sent again when it returns. */
+  #updateEngine(engine: EngineUpstream | undefined): void {
     this.#engine = engine;
     if (engine === undefined) {
-      this.#roleOf = undefined;
-      this.#drop();
+      this.#roleFencingNumber = undefined;
+      this.#discard();
     }
   }
 
-  #noteAnswer(
+  #handleAnswer(
     sequence: number,
     outcome: Extract<OrderEvent, { type: 'orderAnswered' }>['outcome'],
     now: Milliseconds,
@@ -157,8 +157,8 @@
         this.#fail(now);
         return;
       case 'fenced':
-        this.#step({ type: 'fenced' });
-        this.#dueAt = Infinity;
+        this.#transition({ type: 'fenced' });
+        this.#deadline = Infinity;
         return;
       default:
         assertNever(outcome);
@@ -167,30 +167,30 @@
 
   #accept(order: EngineOrder, now: Milliseconds): void {
     if (order.action.type === 'changeRole') {
-      this.#roleOf = order.fencingNumber;
-      this.#end();
+      this.#roleFencingNumber = order.fencingNumber;
+      this.#complete();
       return;
     }
-    this.#step({ type: 'accepted' });
-    this.#dueAt = now + this.#options.loadTimeout;
+    this.#transition({ type: 'accepted' });
+    this.#deadline = now + this.#options.loadTimeout;
   }
 
   #fail(now: Milliseconds): void {
-    this.#step({ type: 'failed' });
+    this.#transition({ type: 'failed' });
     this.#order = undefined;
-    const { firstBackOff, longestBackOff } = this.#options;
-    const longest = Math.min(longestBackOff, firstBackOff * 2 ** (this.#failures - 1));
-    // Half fixed, half random: hosts whose loads failed together do not all come back to the weight store together.
-    this.#dueAt = now + longest * (0.5 + 0.5 * this.#random.fraction());
+    const { initialBackOff: firstBackOff, maxBackOff: longestBackOff } = this.#options;
+    const maxDelay = Math.min(longestBackOff, firstBackOff * 2 ** (this.#failureCount - 1));
+    // Half of the delay is jitter, so that hosts whose loads failed together do not all retry at the weight store at once.
+    this.#deadline = now + maxDelay * (0.5 + 0.5 * this.#random.fraction());
   }
 
-  #checkTime(now: Milliseconds): void {
-    if (now < this.#dueAt) {
+  #handleTick(now: Milliseconds): void {
+    if (now < this.#deadline) {
       return;
     }
     if (this.#snapshot.value === 'backingOff') {
-      this.#step({ type: 'retried' });
-      this.#dueAt = Infinity;
+      this.#transition({ type: 'retried' });
+      this.#deadline = Infinity;
     } else {
       this.#fail(now);
     }
@@ -198,29 +198,29 @@
 
   #decide(now: Milliseconds): readonly OrderEffect[] {
     const effects: OrderEffect[] = [];
-    this.#noticeEffect();
-    effects.push(...this.#changeReadiness());
+    this.#detectCompletion();
+    effects.push(...this.#updateReadiness());
     const action = this.#chooseAction();
     if (action !== undefined && this.#placement !== undefined) {
       effects.push(this.#send(action, this.#placement.fencingNumber, now));
     }
-    effects.push(...this.#changeFitness());
-    return [...effects, { type: 'wake', at: this.#dueAt }];
+    effects.push(...this.#updateFitness());
+    return [...effects, { type: 'wake', at: this.#deadline }];
   }
 
-  /** An order under way ends once the engine announces its effect, however it got there. */
-  #noticeEffect(): void {
+  /** An order is complete once the engine announces its effect, whether or not the order caused it. */
+  #detectCompletion(): void {
     const action = this.#order?.action;
     if (action === undefined || this.#engine === undefined || action.type === 'changeRole') {
       return;
     }
     const isLoaded = isArtifactCovered(action.artifact, this.#engine.loaded);
     if (isLoaded === (action.type !== 'unload')) {
-      this.#end();
+      this.#complete();
     }
   }
 
-  /** Nothing is ordered while an order is under way, or while the lead of another placement may count on this engine. */
+  /** Chooses no action while an order is in progress or while the lead of another placement may hold a lease on this host. */
   #chooseAction(): EngineOrderAction | undefined {
     const placement = this.#placement;
     if (this.#snapshot.value !== 'idle' || this.#engine === undefined || placement === undefined) {
@@ -229,29 +229,29 @@
     if (this.#isHeldByOther()) {
       return undefined;
     }
-    const load = chooseLoad(placement.artifact, this.#engine, this.#options.capacity);
+    const load = chooseNextLoadAction(placement.artifact, this.#engine, this.#options.capacity);
     if (load !== undefined) {
       return load;
     }
-    const hasRole = this.#roleOf === placement.fencingNumber;
+    const hasRole = this.#roleFencingNumber === placement.fencingNumber;
     return hasRole ? undefined : { type: 'changeRole', role: placement.role };
   }
 
   #send(action: EngineOrderAction, fencingNumber: FencingNumber, now: Milliseconds): OrderEffect {
     this.#sequence += 1;
     this.#order = { sequence: this.#sequence, fencingNumber, action };
-    this.#step({ type: 'sent' });
-    this.#dueAt = now + this.#options.answerTimeout;
+    this.#transition({ type: 'sent' });
+    this.#deadline = now + this.#options.answerTimeout;
     return { type: 'send', order: this.#order };
   }
 
-  #changeReadiness(): readonly OrderEffect[] {
+  #updateReadiness(): readonly OrderEffect[] {
     const ready = this.#isReady() ? this.#placement : undefined;
-    const before = this.#readyFor;
+    const before = this.#readyPlacement;
     if (ready?.fencingNumber === before?.fencingNumber) {
       return [];
     }
-    this.#readyFor = ready;
+    this.#readyPlacement = ready;
     const effects: OrderEffect[] = [];
     if (before !== undefined) {
       const { group, fencingNumber } = before;
@@ -270,11 +270,11 @@
       return false;
     }
     const isLoaded = isArtifactCovered(placement.artifact, this.#engine.loaded);
-    return isLoaded && this.#roleOf === placement.fencingNumber;
+    return isLoaded && this.#roleFencingNumber === placement.fencingNumber;
   }
 
-  #changeFitness(): readonly OrderEffect[] {
-    const isFit = this.#failures < this.#options.failuresUntilUnfit;
+  #updateFitness(): readonly OrderEffect[] {
+    const isFit = this.#failureCount < this.#options.failuresUntilUnfit;
     if (isFit === this.#isFit) {
       return [];
     }
@@ -286,23 +286,23 @@
     return this.#holder !== undefined && this.#holder !== this.#placement?.fencingNumber;
   }
 
-  get #failures(): number {
+  get #failureCount(): number {
     return this.#snapshot.context.failures;
   }
 
-  #end(): void {
-    this.#step({ type: 'done' });
+  #complete(): void {
+    this.#transition({ type: 'done' });
     this.#order = undefined;
-    this.#dueAt = Infinity;
+    this.#deadline = Infinity;
   }
 
-  #drop(): void {
-    this.#step({ type: 'dropped' });
+  #discard(): void {
+    this.#transition({ type: 'dropped' });
     this.#order = undefined;
-    this.#dueAt = Infinity;
+    this.#deadline = Infinity;
   }
 
-  #step(event: OrderMachineEvent): void {
+  #transition(event: OrderMachineEvent): void {
     [this.#snapshot] = transition(orderMachine, this.#snapshot, event);
   }
 }
--- a/src/sidecar/orders/order-machine.ts
+++ b/src/sidecar/orders/order-machine.ts
@@ -1,8 +1,8 @@
 import { assign, setup, type SnapshotFrom } from 'xstate';
 
-/** Life cycle of the one order that a sidecar has with its engine at a time; stepped by xstate's pure transition. */
+/** State machine of the single order that a sidecar may have in progress; advanced by xstate's pure `transition`. */
 
-/** What may happen to an order. */
+/** Events in the life of an order. */
 export type OrderMachineEvent =
   | { readonly type: 'sent' }
   | { readonly type: 'accepted' }
@@ -44,7 +44,7 @@
     backingOff: {
       on: { retried: 'idle', done: { target: 'idle', actions: assign({ failures: 0 }) } },
     },
-    /** The engine serves a newer placement: nothing is sent until this sidecar learns of it too. */
+    /** The engine already serves a newer placement: no order is sent until this sidecar learns of it too. */
     fenced: {},
   },
 });
--- a/src/sidecar/orders/orders.ts
+++ b/src/sidecar/orders/orders.ts
@@ -10,16 +10,16 @@
   type HostName,
 } from '../../model/index.js';
 
-/** Orders to the engine beside a sidecar. */
+/** Orders to the sidecar's local engine. */
 
-/** The engine's part in a replica: the first member's takes the requests. */
+/** The engine's role in a replica; the engine of the first member receives the requests. */
 export interface EngineRole {
   readonly group: GroupName;
   readonly rank: number;
   readonly size: number;
 }
 
-/** What the engine is to do. */
+/** The action that the engine is to carry out. */
 export type EngineOrderAction =
   | { readonly type: 'loadModel'; readonly artifact: Artifact }
   | { readonly type: 'loadAdapters'; readonly artifact: Artifact }
@@ -27,24 +27,24 @@
   | { readonly type: 'unload'; readonly artifact: Artifact }
   | { readonly type: 'changeRole'; readonly role: EngineRole };
 
-/** An order with what tells it from older and later ones. */
+/** An action with the numbers that distinguish it from older and newer orders. */
 export interface EngineOrder {
-  /** Grows with each order of this sidecar's start. */
+  /** Increases with each order since this sidecar started. */
   readonly sequence: number;
   readonly fencingNumber: FencingNumber;
   readonly action: EngineOrderAction;
 }
 
-/** What a placement asks of this host's engine. */
-export interface OrderedPlacement {
+/** The state that a placement requires of this host's engine. */
+export interface DesiredPlacement {
   readonly group: GroupName;
   readonly fencingNumber: FencingNumber;
   readonly artifact: Artifact;
   readonly role: EngineRole;
 }
 
-/** What a placement asks of the engine of one member; undefined for a plain service or a host outside of the group. */
-export function describePlacement(group: Group, host: HostName): OrderedPlacement | undefined {
+/** Derives the state required of one member's engine; undefined for a plain service or a host that is not a member. */
+export function buildDesiredPlacement(group: Group, host: HostName): DesiredPlacement | undefined {
   const rank = group.members.findIndex((member) => member.host === host);
   if (rank < 0 || group.offer.type !== 'model') {
     return undefined;
@@ -54,8 +54,8 @@
   return { group: name, fencingNumber, artifact: offer.artifact, role };
 }
 
-/** The next order on the way from what is loaded to what is wanted; undefined once all is loaded. */
-export function chooseLoad(
+/** The next action towards having the wanted artifact loaded; undefined once it is loaded. */
+export function chooseNextLoadAction(
   wanted: Artifact,
   engine: EngineUpstream,
   capacity: number,
@@ -76,16 +76,16 @@
   return { type: 'loadModel', artifact: wanted };
 }
 
-/** Times and sizes of the orders to one engine. */
+/** Limits and timeouts for the orders to one engine. */
 export interface OrderOptions {
-  /** Artifacts of different models that the engine keeps loaded at once. */
+  /** Number of models that the engine can keep loaded at once. */
   readonly capacity: number;
-  /** An order without an answer, or without its effect, for so long has failed. */
+  /** An order fails if it is not answered within `answerTimeout`, or if its effect does not show within `loadTimeout` after that. */
   readonly answerTimeout: Milliseconds;
   readonly loadTimeout: Milliseconds;
-  readonly firstBackOff: Milliseconds;
-  readonly longestBackOff: Milliseconds;
-  /** After so many failures in a row the host says that its upstream is not well. */
+  readonly initialBackOff: Milliseconds;
+  readonly maxBackOff: Milliseconds;
+  /** After this many consecutive failures the host reports its upstream as unhealthy. */
   readonly failuresUntilUnfit: number;
 }
 
@@ -95,7 +95,7 @@
   capacity: 1,
   answerTimeout: 5 * second,
   loadTimeout: 600 * second,
-  firstBackOff: second,
-  longestBackOff: 60 * second,
+  initialBackOff: second,
+  maxBackOff: 60 * second,
   failuresUntilUnfit: 3,
 };
--- a/src/sidecar/shell/drain-runner.ts
+++ b/src/sidecar/shell/drain-runner.ts
@@ -1,19 +1,19 @@
 import type { Clock, Milliseconds } from '../../common/index.js';
 import { DrainController, type DrainEffect } from '../drain/index.js';
 
-/** Carries a planned stop out, step by step of its `DrainController`. */
+/** Executes a graceful shutdown as directed by a `DrainController`. */
 
 const pollInterval: Milliseconds = 50;
 
-/** What a planned stop does to the parts of a sidecar. */
+/** Operations of a sidecar that a graceful shutdown uses. */
 export interface DrainTarget {
-  /** Attempts that this sidecar admitted and that have not ended. */
+  /** Number of unfinished attempts that this sidecar admitted. */
   readonly countRunning: () => number;
-  /** Whether some lead may still count on this host. */
+  /** Whether any lead may still hold a lease on this host. */
   readonly isHeld: () => boolean;
   readonly refuseNewWork: () => void;
   readonly dissolveGroups: () => void;
-  readonly cutOff: () => Promise<void>;
+  readonly abortAttempts: () => Promise<void>;
   readonly leave: () => void;
 }
 
@@ -24,18 +24,18 @@
   clock: Clock,
 ): Promise<void> {
   const controller = new DrainController(hardLimit);
-  await carryOut(target, controller.handle({ type: 'stopRequested', now: clock.monotonic() }));
+  await applyEffects(target, controller.handle({ type: 'stopRequested', now: clock.monotonic() }));
   while (controller.state !== 'left') {
     const now = clock.monotonic();
     const running = target.countRunning();
-    await carryOut(target, controller.handle({ type: 'workChanged', now, running }));
+    await applyEffects(target, controller.handle({ type: 'workChanged', now, running }));
     const isHeld = target.isHeld();
-    await carryOut(target, controller.handle({ type: 'holdChanged', now, isHeld }));
+    await applyEffects(target, controller.handle({ type: 'holdChanged', now, isHeld }));
     await new Promise((resolve) => setTimeout(resolve, pollInterval));
   }
 }
 
-async function carryOut(target: DrainTarget, effects: readonly DrainEffect[]): Promise<void> {
+async function applyEffects(target: DrainTarget, effects: readonly DrainEffect[]): Promise<void> {
   for (const effect of effects) {
     switch (effect.type) {
       case 'refuseNewWork':
@@ -44,14 +44,14 @@
       case 'dissolveGroups':
         target.dissolveGroups();
         break;
-      case 'cutOff':
-        await target.cutOff();
+      case 'abortAttempts':
+        await target.abortAttempts();
         break;
       case 'leave':
         target.leave();
         break;
       case 'wake':
-        // The loop looks often enough.
+        // Not needed: the loop polls often enough.
         break;
     }
   }
--- a/src/sidecar/shell/group-leader.ts
+++ b/src/sidecar/shell/group-leader.ts
@@ -14,7 +14,7 @@
 import { LeaseLeadDriver } from './lease-lead-driver.js';
 import type { LeaseMemberDriver } from './lease-member-driver.js';
 
-/** Leads the groups whose first member is this host, as the watched state names them. */
+/** Leads the groups in the watched state whose first member is this host. */
 
 /** Options of the group leader. */
 export interface GroupLeaderOptions {
@@ -24,7 +24,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly member: LeaseMemberDriver;
-  readonly onHealth: () => void;
+  readonly onHealthChange: () => void;
 }
 
 export class GroupLeader {
@@ -35,7 +35,7 @@
     this.#options = options;
   }
 
-  /** Starts, drains and dissolves what the watched state asks for. */
+  /** Starts, drains and dissolves groups to match the watched state. */
   reconcile(state: WatchedState): void {
     if (!state.isSynchronized) {
       return;
@@ -71,10 +71,10 @@
   }
 
   /**
-   * Hands the leases of drained groups back, so that members that are to stop need not wait for control to dissolve them.
-   * Only right after the attempts in flight were counted: an older count could miss one that was just admitted.
+   * Releases the leases of drained groups, so that members that are shutting down need not wait for control to dissolve the groups.
+   * Call it only right after counting the attempts in flight: an older count could miss one that was just admitted.
    */
-  handBackDrained(): void {
+  dissolveDrained(): void {
     for (const driver of this.#drivers.values()) {
       if (driver.isDraining && driver.health().isDrained) {
         driver.dissolve();
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Hands all leases back. */
+  /** Releases all leases. */
   dissolveAll(): void {
     for (const driver of this.#drivers.values()) {
       driver.dissolve();
@@ -90,7 +90,7 @@
     this.#drivers.clear();
   }
 
-  /** A placement made for an earlier start of this sidecar is not led: its attempts would be refused one by one. */
+  /** Excludes placements for an earlier incarnation of this sidecar, because each of their attempts would be refused. */
   #isLedHere(group: Group): boolean {
     const lead = findLead(group);
     return lead.host === this.#options.host && lead.incarnation === this.#options.incarnation;
@@ -105,7 +105,7 @@
   }
 
   #start(group: Group, duration: Milliseconds): LeaseLeadDriver {
-    const { host, incarnation, clients, clock, logger, member, onHealth } = this.#options;
+    const { host, incarnation, clients, clock, logger, member, onHealthChange } = this.#options;
     const driver = new LeaseLeadDriver({
       group,
       host,
@@ -115,7 +115,7 @@
       clock,
       logger,
       member,
-      onHealth,
+      onHealthChange,
     });
     this.#drivers.set(group.name, driver);
     driver.start();
--- a/src/sidecar/shell/lease-lead-driver.ts
+++ b/src/sidecar/shell/lease-lead-driver.ts
@@ -22,15 +22,15 @@
 import { MessageQueue, type RpcClientPool } from '../../wire/index.js';
 import type { LeaseMemberDriver } from './lease-member-driver.js';
 
-/** Carries the questions of one `LeaseLead` to the members of its group and their answers back. */
+/** Transport of one `LeaseLead`: sends its questions to the members of its group and receives their answers. */
 
-/** None: attempts that come while a round is under way share the next one, which batches under load and delays nothing without. */
+/** Zero: attempts that arrive during a round share the next one, which batches under load and adds no delay otherwise. */
 const confirmBatch: Milliseconds = 0;
 const confirmTimeout: Milliseconds = 250;
-/** A closed stream fails its questions at once; this long the next one is not opened, so that a dead host is not hammered. */
+/** A closed stream fails its questions at once. It stays closed for this long, to avoid flooding a dead host with connection attempts. */
 const reopenDelay: Milliseconds = 100;
 
-/** Options of the lead's side. */
+/** Options of the lease lead driver. */
 export interface LeaseLeadDriverOptions {
   readonly group: Group;
   readonly host: HostName;
@@ -39,12 +39,12 @@
   readonly clients: RpcClientPool;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** The member of this very host. */
+  /** The lease member on this host. */
   readonly member: LeaseMemberDriver;
-  readonly onHealth: (health: GroupHealth) => void;
+  readonly onHealthChange: (health: GroupHealth) => void;
 }
 
-/** The questions to one member. */
+/** Outgoing questions to one member. */
 interface QuestionStream {
   readonly queue: MessageQueue<LeaseQuestionMessage>;
   readonly writer: LeaseQuestionWriter;
@@ -54,10 +54,10 @@
   readonly #options: LeaseLeadDriverOptions;
   readonly #lead: LeaseLead;
   readonly #streams = new Map<HostName, QuestionStream>();
-  /** When each member last answered, or its stream was opened. */
-  readonly #heardAt = new Map<HostName, Milliseconds>();
+  /** When each member last answered, or its stream was opened or its connection retired. */
+  readonly #lastAnswerAt = new Map<HostName, Milliseconds>();
   readonly #closedAt = new Map<HostName, Milliseconds>();
-  readonly #confirmations = new Map<string, (isWhole: boolean) => void>();
+  readonly #pendingConfirmations = new Map<string, (isWhole: boolean) => void>();
   #timer: NodeJS.Timeout | undefined;
   #isDissolved = false;
 
@@ -75,7 +75,7 @@
     this.#handle({ type: 'started', now: this.#now() });
   }
 
-  /** Hands the leases back; nothing is admitted from here on. */
+  /** Releases the leases; no attempt is admitted afterwards. */
   dissolve(): void {
     if (this.#isDissolved) {
       return;
@@ -92,7 +92,7 @@
     this.#handle({ type: 'drainRequested', now: this.#now() });
   }
 
-  noteRunning(running: number): void {
+  updateRunning(running: number): void {
     this.#handle({ type: 'attemptsChanged', now: this.#now(), running });
   }
 
@@ -108,11 +108,11 @@
     return this.#lead.health(this.#now());
   }
 
-  /** Asks every member once more; false when one does not vouch for the group now. */
+  /** Asks every member again; resolves to false if one of them does not confirm the group. */
   confirm(): Promise<boolean> {
     const token = createIdentifier();
     return new Promise((resolve) => {
-      this.#confirmations.set(token, resolve);
+      this.#pendingConfirmations.set(token, resolve);
       this.#handle({ type: 'confirmRequested', now: this.#now(), token });
     });
   }
@@ -123,33 +123,36 @@
 
   #handle(event: LeaseLeadEvent): void {
     for (const effect of this.#lead.handle(event)) {
-      this.#carryOut(effect);
+      this.#applyEffect(effect);
     }
   }
 
-  #carryOut(effect: LeaseLeadEffect): void {
-    const { logger, group, onHealth } = this.#options;
-    const place = { group: group.name, fencingNumber: group.fencingNumber };
+  #applyEffect(effect: LeaseLeadEffect): void {
+    const { logger, group, onHealthChange } = this.#options;
+    const logContext = { group: group.name, fencingNumber: group.fencingNumber };
     switch (effect.type) {
       case 'ask':
-        this.#ask(effect.member, effect.question);
+        this.#sendQuestion(effect.member, effect.question);
         return;
       case 'wake':
         this.#wakeAt(effect.at);
         return;
       case 'healthChanged':
-        logger.info({ ...place, health: effect.health }, 'group health changed');
-        onHealth(effect.health);
+        logger.info({ ...logContext, health: effect.health }, 'group health changed');
+        onHealthChange(effect.health);
         return;
       case 'drainNoted':
-        logger.info({ ...place, member: effect.member }, 'a member asks to drain');
+        logger.info({ ...logContext, member: effect.member }, 'member requested a drain');
         return;
       case 'superseded':
-        logger.info({ ...place, member: effect.member }, 'a member serves a newer placement');
+        logger.info(
+          { ...logContext, member: effect.member },
+          'group superseded: member serves a newer placement',
+        );
         return;
       case 'confirmed':
-        this.#confirmations.get(effect.token)?.(effect.isWhole);
-        this.#confirmations.delete(effect.token);
+        this.#pendingConfirmations.get(effect.token)?.(effect.isWhole);
+        this.#pendingConfirmations.delete(effect.token);
         return;
       default:
         assertNever(effect);
@@ -167,25 +170,25 @@
     }, wait);
   }
 
-  #ask(member: GroupMember, question: LeaseQuestion): void {
+  #sendQuestion(member: GroupMember, question: LeaseQuestion): void {
     if (member.host === this.#options.host) {
       this.#options.member.askLocally(question, (answer) => {
-        // Not at once: the effects of the step that asked are still being carried out.
+        // Deferred, because the effects of the event that caused the question are still being applied.
         queueMicrotask(() => {
           this.#handle({ type: 'answered', now: this.#now(), answer });
         });
       });
       return;
     }
-    const stream = this.#openStream(member);
+    const stream = this.#findOrOpenStream(member);
     stream?.queue.push(stream.writer.write(question));
   }
 
-  /** Undefined shortly after a stream closed: the question counts as lost and the next round asks again. */
-  #openStream(member: GroupMember): QuestionStream | undefined {
+  /** Returns undefined shortly after a stream closed: the question counts as lost and the next round repeats it. */
+  #findOrOpenStream(member: GroupMember): QuestionStream | undefined {
     const open = this.#streams.get(member.host);
     if (open !== undefined) {
-      this.#retireIfSilent(member);
+      this.#retireUnresponsiveConnection(member);
       return open;
     }
     const closedAt = this.#closedAt.get(member.host) ?? -Infinity;
@@ -195,19 +198,19 @@
     const queue = new MessageQueue<LeaseQuestionMessage>();
     const stream = { queue, writer: new LeaseQuestionWriter() };
     this.#streams.set(member.host, stream);
-    this.#heardAt.set(member.host, this.#now());
+    this.#lastAnswerAt.set(member.host, this.#now());
     void this.#readAnswers(member, queue);
     return stream;
   }
 
   /**
-   * A connection that something on the way lost track of swallows questions without an error; a new one works.
-   * One lease without an answer is the sign: the connection is dropped, which ends the stream.
+   * If a device on the path loses its connection state, questions are dropped without an error, while a new connection works.
+   * A member that does not answer for the duration of a lease indicates this. Its connection is retired, which ends the stream.
    */
-  #retireIfSilent(member: GroupMember): void {
-    const heardAt = this.#heardAt.get(member.host) ?? -Infinity;
+  #retireUnresponsiveConnection(member: GroupMember): void {
+    const heardAt = this.#lastAnswerAt.get(member.host) ?? -Infinity;
     if (this.#now() - heardAt > this.#options.duration) {
-      this.#heardAt.set(member.host, this.#now());
+      this.#lastAnswerAt.set(member.host, this.#now());
       this.#options.clients.retire(member.address);
     }
   }
@@ -221,12 +224,12 @@
     try {
       for await (const answer of clients.client(LeaseService, member.address).hold(stream)) {
         const now = this.#now();
-        this.#heardAt.set(member.host, now);
+        this.#lastAnswerAt.set(member.host, now);
         this.#handle({ type: 'answered', now, answer: reader.read(answer) });
       }
     } catch (error) {
-      const place = { group: group.name, member: member.host };
-      logger.debug({ ...place, error: String(error) }, 'lease stream broke');
+      const logContext = { group: group.name, member: member.host };
+      logger.debug({ ...logContext, error: String(error) }, 'lease stream failed');
     }
     stream.close();
     this.#streams.delete(member.host);
--- a/src/sidecar/shell/lease-member-driver.ts
+++ b/src/sidecar/shell/lease-member-driver.ts
@@ -17,12 +17,12 @@
 import type { FencingNumber, GroupName, HostName, Incarnation } from '../../model/index.js';
 import { MessageQueue } from '../../wire/index.js';
 
-/** Carries the lease questions of other sidecars to this host's `LeaseMember` and its answers back. */
+/** Transport of this host's `LeaseMember`: receives lease questions from other sidecars and sends back its answers. */
 
-/** Where answers to one lead go. */
+/** Receives the answers to one lead. */
 type AnswerSink = (answer: LeaseAnswer) => void;
 
-/** Options of the member's side. */
+/** Options of the lease member driver. */
 export interface LeaseMemberDriverOptions {
   readonly host: HostName;
   readonly incarnation: Incarnation;
@@ -33,7 +33,7 @@
 export class LeaseMemberDriver {
   readonly #clock: Clock;
   readonly #member: LeaseMember;
-  /** By lead and fencing number: a lead has one stream for each placement. */
+  /** Keyed by lead and fencing number, because a lead has one stream per placement. */
   readonly #sinks = new Map<string, AnswerSink>();
   #isHealthy = false;
   readonly #readiness = new Map<FencingNumber, boolean>();
@@ -43,7 +43,7 @@
     this.#member = new LeaseMember(options);
   }
 
-  /** Starts the wait of a restarted member. */
+  /** Starts the waiting period during which a restarted member grants no lease. */
   start(): void {
     this.#handle({ type: 'started', now: this.#clock.monotonic() });
   }
@@ -52,9 +52,9 @@
     router.service(LeaseService, { hold: (questions) => this.#hold(questions) });
   }
 
-  /** A question of the lead on this very host; the answer may also come later, unasked. */
+  /** Handles a question of a lead on this host. Answers may also follow later without a question. */
   askLocally(question: LeaseQuestion, sink: AnswerSink): void {
-    this.#ask(question, sink);
+    this.#handleQuestion(question, sink);
   }
 
   setHealthy(isHealthy: boolean): void {
@@ -65,7 +65,7 @@
     this.#handle({ type: 'healthChanged', now: this.#clock.monotonic(), isHealthy });
   }
 
-  /** Whether the upstream has loaded what a placement offers. */
+  /** Sets whether the upstream is ready to serve a placement. */
   setReady(group: GroupName, fencingNumber: FencingNumber, isReady: boolean): void {
     if (this.#readiness.get(fencingNumber) === isReady) {
       return;
@@ -80,7 +80,7 @@
     this.#handle({ type: 'drainRequested', now: this.#clock.monotonic() });
   }
 
-  /** The placement whose lead may still count on this host; undefined when none may. */
+  /** The placement whose lead may still hold a lease on this host; undefined if there is none. */
   findHolder(): FencingNumber | undefined {
     return this.#member.holder(this.#clock.monotonic())?.fencingNumber;
   }
@@ -103,17 +103,17 @@
     const reader = new LeaseQuestionReader();
     try {
       for await (const message of questions) {
-        this.#ask(reader.read(message), sink);
+        this.#handleQuestion(reader.read(message), sink);
       }
     } catch {
-      // The lead's connection broke; what it was granted runs out by itself.
+      // The lead's connection broke; the leases granted to it expire on their own.
     } finally {
       answers.close();
-      this.#forget(sink);
+      this.#removeSink(sink);
     }
   }
 
-  #ask(question: LeaseQuestion, sink: AnswerSink): void {
+  #handleQuestion(question: LeaseQuestion, sink: AnswerSink): void {
     this.#sinks.set(createSinkKey(question.lead, question.fencingNumber), sink);
     this.#handle({ type: 'asked', now: this.#clock.monotonic(), question });
   }
@@ -124,7 +124,7 @@
     }
   }
 
-  #forget(sink: AnswerSink): void {
+  #removeSink(sink: AnswerSink): void {
     for (const [key, known] of this.#sinks) {
       if (known === sink) {
         this.#sinks.delete(key);
--- a/src/sidecar/shell/order-runner.ts
+++ b/src/sidecar/shell/order-runner.ts
@@ -10,7 +10,7 @@
 import type { Address, FencingNumber, Group, GroupName, HostName } from '../../model/index.js';
 import {
   defaultOrderOptions,
-  describePlacement,
+  buildDesiredPlacement,
   OrderController,
   type EngineOrder,
   type OrderEffect,
@@ -19,27 +19,31 @@
 import type { UpstreamState } from '../upstream/index.js';
 import type { OrderOutcome } from './sidecar-metrics.js';
 
-/** Carries the orders of an `OrderController` to the engine beside the sidecar; docs/UPSTREAMS.md describes them. */
+/** Sends the orders of an `OrderController` to the local engine; docs/UPSTREAMS.md describes them. */
 
 const conflictStatus = 409;
 
-/** Options of the runner. */
+/** Options of the order runner. */
 export interface OrderRunnerOptions {
   readonly host: HostName;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
-  /** Told of each order that was sent and how it came out. */
+  /** Called with the type and result of each order. */
   readonly onOutcome: (order: EngineOrder['action']['type'], outcome: OrderOutcome) => void;
-  readonly onReadiness: (group: GroupName, fencingNumber: FencingNumber, isReady: boolean) => void;
+  readonly onReadinessChange: (
+    group: GroupName,
+    fencingNumber: FencingNumber,
+    isReady: boolean,
+  ) => void;
 }
 
-/** What the orders depend on at one moment. */
-export interface OrderSituation {
+/** Current inputs that determine the orders. */
+export interface OrderInputs {
   /** Placements that this host is a member of. */
   readonly placements: readonly Group[];
   readonly upstream: UpstreamState;
-  /** The placement whose lead may count on this host. */
+  /** The placement whose lead may hold a lease on this host. */
   readonly holder: FencingNumber | undefined;
 }
 
@@ -54,13 +58,13 @@
     this.#controller = new OrderController(defaultOrderOptions, options.random);
   }
 
-  /** False while the engine fails its orders again and again. */
+  /** False after repeated order failures. */
   get isFit(): boolean {
     return this.#isFit;
   }
 
-  /** Takes the situation of this moment; called often enough to stand for timers too. */
-  update({ placements, upstream, holder }: OrderSituation): void {
+  /** Processes the current inputs. Called often enough that no separate timers are needed. */
+  update({ placements, upstream, holder }: OrderInputs): void {
     const now = this.#options.clock.monotonic();
     const engine =
       upstream.type === 'present' && upstream.upstream.type === 'engine'
@@ -69,7 +73,7 @@
     this.#address = upstream.type === 'present' ? upstream.address : undefined;
     const newest = findNewest(placements);
     const placement =
-      newest === undefined ? undefined : describePlacement(newest, this.#options.host);
+      newest === undefined ? undefined : buildDesiredPlacement(newest, this.#options.host);
     this.#handle({ type: 'holderChanged', now, holder });
     this.#handle({ type: 'engineChanged', now, engine });
     this.#handle({ type: 'placementChanged', now, placement });
@@ -78,21 +82,21 @@
 
   #handle(event: OrderEvent): void {
     for (const effect of this.#controller.handle(event)) {
-      this.#carryOut(effect);
+      this.#applyEffect(effect);
     }
   }
 
-  #carryOut(effect: OrderEffect): void {
+  #applyEffect(effect: OrderEffect): void {
     switch (effect.type) {
       case 'send':
         void this.#send(effect.order);
         return;
       case 'readinessChanged':
-        this.#options.onReadiness(effect.group, effect.fencingNumber, effect.isReady);
+        this.#options.onReadinessChange(effect.group, effect.fencingNumber, effect.isReady);
         return;
       case 'fitnessChanged':
         this.#isFit = effect.isFit;
-        this.#options.logger.warn({ isFit: effect.isFit }, 'fitness of the engine changed');
+        this.#options.logger.warn({ isFit: effect.isFit }, 'engine fitness changed');
         return;
       case 'wake':
         return;
@@ -105,7 +109,7 @@
     const { logger } = this.#options;
     const { sequence, fencingNumber, action } = order;
     const outcome = await this.#deliver(order);
-    logger.info({ order: action.type, fencingNumber, outcome }, 'order sent');
+    logger.info({ order: action.type, fencingNumber, outcome }, 'order delivery finished');
     this.#options.onOutcome(action.type, outcome);
     const now: Milliseconds = this.#options.clock.monotonic();
     this.#handle({ type: 'orderAnswered', now, sequence, outcome });
@@ -113,7 +117,7 @@
 
   async #deliver(order: EngineOrder): Promise<OrderOutcome> {
     const { sequence, fencingNumber, action } = order;
-    // The last look before the bytes leave: an engine that ignores fencing numbers carries out whatever comes.
+    // Final check before sending: an engine that ignores fencing numbers executes every order it receives.
     if (this.#address === undefined || !this.#controller.isCurrent(order)) {
       return 'failed';
     }
--- a/src/sidecar/shell/report-client.ts
+++ b/src/sidecar/shell/report-client.ts
@@ -17,15 +17,18 @@
 import { ReconnectPacing } from '../../watch/index.js';
 import { MessageQueue, StreamSilence, type RpcClientPool } from '../../wire/index.js';
 
-/** Reports to one control host: facts when they change, otherwise a small heartbeat. */
+/** Reports to one control host at a time: facts when they change, otherwise small periodic heartbeats. */
 
 const heartbeatInterval: Milliseconds = 1000;
-/** Each report is answered; three heartbeats without an answer, and the host would count as lost for as long as the stream lives. */
-const silenceLimit: Milliseconds = 3500;
-/** A stream that lived this long was useful: the control host behind it works. */
-const usefulAfter: Milliseconds = 5000;
+/**
+ * Each report is answered. After three unanswered heartbeats the stream is replaced; otherwise the host would count as lost for as long
+ * as the broken stream stays open.
+ */
+const acknowledgementTimeout: Milliseconds = 3500;
+/** A stream that lasted this long shows that its control host works, so the reconnect delay is reset. */
+const stableStreamAge: Milliseconds = 5000;
 
-/** What a report says, without its place in the order of reports. */
+/** Content of a report, without its sequence numbers. */
 export type ReportContent = Omit<HostReport, 'facts' | 'sequence' | 'factsSequence'> & {
   readonly facts: HostFacts;
 };
@@ -37,7 +40,7 @@
   readonly logger: Logger;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** The whole report of this moment; `facts` is always set. */
+  /** Builds the current report; `facts` is always set. */
   readonly describe: () => ReportContent;
 }
 
@@ -46,39 +49,39 @@
   readonly #options: ReportClientOptions;
   readonly #closing = new AbortController();
   readonly #pacing: ReconnectPacing;
-  #turn: number;
+  #nextControlIndex: number;
   #queue: MessageQueue<HostReportMessage> | undefined;
-  #sentFacts = '';
-  #sentRest = '';
+  #lastSentFacts = '';
+  #lastSentRest = '';
   #sequence = 0;
   #factsSequence = 0;
-  #timer: NodeJS.Timeout | undefined;
+  #heartbeatTimer: NodeJS.Timeout | undefined;
   readonly #silence: StreamSilence;
   #running: Promise<void> | undefined;
 
   constructor(options: ReportClientOptions) {
     this.#options = options;
-    this.#turn = options.random.integerBelow(options.control.length);
+    this.#nextControlIndex = options.random.integerBelow(options.control.length);
     this.#pacing = new ReconnectPacing(options.random);
-    this.#silence = new StreamSilence(options.clients, silenceLimit);
+    this.#silence = new StreamSilence(options.clients, acknowledgementTimeout);
   }
 
   open(): void {
-    this.#timer = setInterval(() => {
+    this.#heartbeatTimer = setInterval(() => {
       this.#send(true);
     }, heartbeatInterval);
     this.#running = this.#run();
   }
 
-  /** Ends the last stream after what is queued, a good-bye included. */
+  /** Sends the queued reports, including the final one that announces leaving, then ends the stream. */
   async close(): Promise<void> {
-    clearInterval(this.#timer);
+    clearInterval(this.#heartbeatTimer);
     this.#closing.abort();
     this.#queue?.close();
     await this.#running;
   }
 
-  /** Sends at once when something to report changed. */
+  /** Sends a report at once if its content has changed. */
   notify(): void {
     this.#send(false);
   }
@@ -86,21 +89,21 @@
   async #run(): Promise<void> {
     while (!this.#isClosing()) {
       const { control, clock, logger } = this.#options;
-      const address = control[this.#turn % control.length] ?? '';
-      this.#turn += 1;
+      const address = control[this.#nextControlIndex % control.length] ?? '';
+      this.#nextControlIndex += 1;
       const queue = new MessageQueue<HostReportMessage>();
       this.#queue = queue;
-      this.#sentFacts = '';
+      this.#lastSentFacts = '';
       const openedAt = clock.monotonic();
       this.#send(true);
       try {
-        await this.#report(address, queue);
+        await this.#runStream(address, queue);
       } catch (error) {
         logger.info({ address, error: String(error) }, 'report stream ended');
       }
       this.#silence.end();
       if (!this.#isClosing()) {
-        if (clock.monotonic() - openedAt > usefulAfter) {
+        if (clock.monotonic() - openedAt > stableStreamAge) {
           this.#pacing.reset();
         }
         await pause(this.#pacing.next(), this.#closing.signal);
@@ -108,7 +111,7 @@
     }
   }
 
-  async #report(address: string, queue: MessageQueue<HostReportMessage>): Promise<void> {
+  async #runStream(address: string, queue: MessageQueue<HostReportMessage>): Promise<void> {
     const stream = new AbortController();
     this.#silence.expect(address, stream);
     const client = this.#options.clients.client(ControlService, address);
@@ -122,13 +125,13 @@
     return this.#closing.signal.aborted;
   }
 
-  /** A heartbeat is sent in any case; facts only when they differ from those sent on this stream. */
+  /** Heartbeats are always sent; facts only if they differ from those last sent on this stream. */
   #send(isHeartbeat: boolean): void {
     const { facts, ...rest } = this.#options.describe();
     const factsText = JSON.stringify(facts);
     const restText = JSON.stringify(rest);
-    const isChanged = factsText !== this.#sentFacts;
-    if (!isHeartbeat && !isChanged && restText === this.#sentRest) {
+    const isChanged = factsText !== this.#lastSentFacts;
+    if (!isHeartbeat && !isChanged && restText === this.#lastSentRest) {
       return;
     }
     this.#sequence += 1;
@@ -137,7 +140,7 @@
     }
     const order = { sequence: this.#sequence, factsSequence: this.#factsSequence };
     this.#queue?.push(encodeReport({ ...rest, ...order, facts: isChanged ? facts : undefined }));
-    this.#sentFacts = factsText;
-    this.#sentRest = restText;
+    this.#lastSentFacts = factsText;
+    this.#lastSentRest = restText;
   }
 }
--- a/src/sidecar/shell/sidecar-board.ts
+++ b/src/sidecar/shell/sidecar-board.ts
@@ -2,27 +2,27 @@
 import type { WatchedState } from '../../model/index.js';
 import type { UpstreamState } from '../upstream/index.js';
 
-/** What the controllers of a sidecar share; each section has one owner that writes it. */
+/** State shared by the controllers of a sidecar. Each section is written by a single owner. */
 
-/** How far a planned stop has come. */
+/** Progress of a graceful shutdown. */
 export type StopState =
   | { readonly type: 'working' }
-  /** No new work; what is in flight goes on. */
+  /** No new attempts are admitted; those in flight continue. */
   | { readonly type: 'draining' }
-  /** No lead counts on this host any more. */
+  /** No lead holds a lease on this host any more. */
   | { readonly type: 'leaving' };
 
 /** The sections of a sidecar's blackboard. */
 export interface SidecarSections {
-  /** Written when the watch brings a change. */
+  /** Written when the watch delivers a change. */
   readonly watched: WatchedState;
-  /** Written with each announcement and at each tick, which notices that announcements stay out. */
+  /** Written with each announcement, and at each tick to detect missing announcements. */
   readonly upstream: UpstreamState;
-  /** Written by the planned stop. */
+  /** Written by the graceful shutdown. */
   readonly stop: StopState;
 }
 
-/** The blackboard of a sidecar that has just started. */
+/** Creates the blackboard with the initial state of a sidecar. */
 export function createSidecarBoard(watched: WatchedState): Blackboard<SidecarSections> {
   return new Blackboard<SidecarSections>({
     watched,
--- a/src/sidecar/shell/sidecar-process.ts
+++ b/src/sidecar/shell/sidecar-process.ts
@@ -25,7 +25,7 @@
 import { createSidecarBoard, type SidecarSections, type StopState } from './sidecar-board.js';
 import { SidecarMetrics } from './sidecar-metrics.js';
 
-/** Puts the parts of a sidecar together. */
+/** Assembles the parts of a sidecar. */
 
 const tickInterval: Milliseconds = 100;
 const metricsInterval: Milliseconds = 1000;
@@ -44,7 +44,7 @@
   readonly #clients = new RpcClientPool();
   readonly #monitor = new UpstreamMonitor();
   readonly #watcher: ControlWatcher;
-  readonly #reports: ReportClient;
+  readonly #reportClient: ReportClient;
   readonly #member: LeaseMemberDriver;
   readonly #leader: GroupLeader;
   readonly #orders: OrderRunner;
@@ -55,7 +55,7 @@
   readonly #writeStop: (state: StopState) => void;
   readonly #metricsClient: Metrics;
   readonly #metrics: SidecarMetrics;
-  #timer: NodeJS.Timeout | undefined;
+  #tickTimer: NodeJS.Timeout | undefined;
   #metricsTimer: NodeJS.Timeout | undefined;
 
   constructor(options: SidecarProcessOptions) {
@@ -71,42 +71,42 @@
     this.#writeWatched = this.#board.own('watched');
     this.#writeUpstream = this.#board.own('upstream');
     this.#writeStop = this.#board.own('stop');
-    this.#reports = new ReportClient({ ...shared, describe: () => this.#describe() });
+    this.#reportClient = new ReportClient({ ...shared, describe: () => this.#buildReport() });
     this.#member = new LeaseMemberDriver({ ...shared, longestLease: defaultLongestLease });
-    const onHealth = () => {
-      this.#noteGroups();
-      this.#reports.notify();
+    const onHealthChange = () => {
+      this.#updateGroupMetrics();
+      this.#reportClient.notify();
     };
-    this.#leader = new GroupLeader({ ...shared, member: this.#member, onHealth });
+    this.#leader = new GroupLeader({ ...shared, member: this.#member, onHealthChange });
     this.#orders = new OrderRunner({
       ...shared,
       onOutcome: (order, outcome) => {
-        this.#metrics.noteOrder(order, outcome);
+        this.#metrics.recordOrder(order, outcome);
       },
-      onReadiness: (group, fencingNumber, isReady) => {
+      onReadinessChange: (group, fencingNumber, isReady) => {
         this.#member.setReady(group, fencingNumber, isReady);
       },
     });
     this.#attempts = new AttemptService({
       ...shared,
       readGroup: (name) => this.#readAdmission(name),
-      confirmWhole: (group) => this.#confirm(group),
+      confirmWhole: (group) => this.#confirmGroup(group),
       readRevision: () => this.#board.read('watched').revision,
       noticeRevision: (revision) => {
         this.#watcher.noticeRevision(revision);
       },
       upstream: new HttpUpstreamCaller(() => this.#findUpstreamUrl()),
       observe: (result) => {
-        this.#metrics.noteAttempt(result);
+        this.#metrics.recordAttempt(result);
       },
     });
   }
 
-  /** Parts in the order in which they open. */
+  /** Parts in opening order. */
   listParts(): readonly ManagedPart[] {
     const { settings, clock } = this.#options;
     const announce = createAnnounceServer(settings.announce, (announcement) => {
-      this.#monitor.announce(announcement, clock.monotonic());
+      this.#monitor.recordAnnouncement(announcement, clock.monotonic());
       this.#refreshUpstream();
     });
     const server = createRpcServer({
@@ -131,7 +131,7 @@
           this.#start();
         },
         close: () => {
-          clearInterval(this.#timer);
+          clearInterval(this.#tickTimer);
           clearInterval(this.#metricsTimer);
         },
       },
@@ -139,7 +139,7 @@
       server,
       this.#attempts,
       this.#watcher,
-      this.#reports,
+      this.#reportClient,
       { name: 'drain', open: () => undefined, close: () => this.#drain() },
     ];
   }
@@ -149,47 +149,47 @@
     this.#watcher.subscribe((state) => {
       this.#reconcile(state);
     });
-    this.#timer = setInterval(() => {
+    this.#tickTimer = setInterval(() => {
       this.#tick();
     }, tickInterval);
     this.#metricsTimer = setInterval(() => {
-      this.#noteGroups();
+      this.#updateGroupMetrics();
     }, metricsInterval);
   }
 
-  #noteGroups(): void {
-    this.#metrics.noteGroups(this.#leader.listHealth());
+  #updateGroupMetrics(): void {
+    this.#metrics.updateGroups(this.#leader.listHealth());
   }
 
   #reconcile(state: WatchedState): void {
     this.#writeWatched(state);
     this.#leader.reconcile(state);
     this.#tick();
-    this.#reports.notify();
+    this.#reportClient.notify();
   }
 
   #tick(): void {
     this.#refreshUpstream();
     const upstream = this.#board.read('upstream');
-    this.#member.setHealthy(this.#isWell(upstream));
+    this.#member.setHealthy(this.#isUpstreamUsable(upstream));
     const placements = this.#listPlacements();
     this.#orders.update({ placements, upstream, holder: this.#member.findHolder() });
     for (const group of placements) {
-      this.#prepareService(group, upstream);
+      this.#updateServiceReadiness(group, upstream);
     }
     for (const driver of this.#leader.list()) {
-      driver.noteRunning(this.#attempts.countUnfinished(driver.group.name));
+      driver.updateRunning(this.#attempts.countUnfinished(driver.group.name));
     }
-    this.#leader.handBackDrained();
-    this.#reports.notify();
+    this.#leader.dissolveDrained();
+    this.#reportClient.notify();
   }
 
-  /** There, well by its own word, and not failing its orders. */
-  #isWell(upstream: UpstreamState): boolean {
+  /** The upstream is present, reports itself healthy, and is not failing its orders. */
+  #isUpstreamUsable(upstream: UpstreamState): boolean {
     return upstream.type === 'present' && upstream.isHealthy && this.#orders.isFit;
   }
 
-  /** Placements that this host is a member of; more than one only while an older one runs out. */
+  /** Placements that this host is a member of; more than one only while an older one is expiring. */
   #listPlacements(): readonly Group[] {
     const { host } = this.#options.settings;
     return [...this.#board.read('watched').groups.values()]
@@ -197,10 +197,10 @@
       .filter((group) => group.members.some((member) => member.host === host));
   }
 
-  /** A plain service has nothing to load; an engine's readiness comes from its orders. */
-  #prepareService({ name, fencingNumber, offer }: Group, upstream: UpstreamState): void {
+  /** A plain service has nothing to load, so it is ready once it is announced. An engine's readiness follows from its orders. */
+  #updateServiceReadiness({ name, fencingNumber, offer }: Group, upstream: UpstreamState): void {
     if (offer.type === 'service') {
-      this.#member.setReady(name, fencingNumber, isOffering(upstream, offer.service));
+      this.#member.setReady(name, fencingNumber, offersService(upstream, offer.service));
     }
   }
 
@@ -226,12 +226,12 @@
     };
   }
 
-  async #confirm(group: Group): Promise<boolean> {
+  async #confirmGroup(group: Group): Promise<boolean> {
     const driver = this.#leader.find(group.name);
     return driver?.group.fencingNumber === group.fencingNumber && (await driver.confirm());
   }
 
-  #describe(): ReportContent {
+  #buildReport(): ReportContent {
     const { settings } = this.#options;
     const upstream = this.#board.read('upstream');
     const stop = this.#board.read('stop');
@@ -245,7 +245,7 @@
       accelerators: settings.accelerators,
       labels: settings.labels,
       upstream: upstream.type === 'present' ? upstream.upstream : undefined,
-      isHealthy: this.#isWell(upstream),
+      isHealthy: this.#isUpstreamUsable(upstream),
       isDraining: stop.type !== 'working',
     };
     return {
@@ -259,7 +259,7 @@
     };
   }
 
-  /** A planned stop: the groups of this host finish what they have, then every lease is handed back. */
+  /** Graceful shutdown: the groups of this host finish their running attempts, then every lease is released. */
   #drain(): Promise<void> {
     const { clock, settings, logger } = this.#options;
     const target = {
@@ -269,25 +269,25 @@
         this.#writeStop({ type: 'draining' });
         this.#attempts.startDrain();
         this.#member.requestDrain();
-        this.#reports.notify();
+        this.#reportClient.notify();
       },
       dissolveGroups: () => {
         this.#leader.dissolveAll();
       },
-      cutOff: async () => {
-        const cut = await this.#attempts.drain(0);
-        logger.warn({ cut }, 'attempts cut off at the hard limit');
+      abortAttempts: async () => {
+        const aborted = await this.#attempts.drain(0);
+        logger.warn({ cut: aborted }, 'attempts aborted at the hard shutdown limit');
       },
       leave: () => {
         this.#writeStop({ type: 'leaving' });
-        this.#reports.notify();
+        this.#reportClient.notify();
       },
     };
     return runDrain(target, settings.shutdown.hardLimitMilliseconds, clock);
   }
 }
 
-function isOffering(upstream: UpstreamState, service: ServiceName): boolean {
+function offersService(upstream: UpstreamState, service: ServiceName): boolean {
   if (upstream.type === 'absent' || upstream.upstream.type !== 'service') {
     return false;
   }
--- a/src/sidecar/upstream/announce-server.ts
+++ b/src/sidecar/upstream/announce-server.ts
@@ -3,18 +3,18 @@
 import { closeServer, openServer, type ManagedPart } from '../../common/index.js';
 import { announcementSchema, type Announcement } from './announcement.js';
 
-/** Takes announcements of the upstream beside the sidecar over HTTP, on an address of the host itself. */
+/** Receives announcements of the local upstream over HTTP, on an address of this host. */
 
 const announcePath = '/announce';
-const maximumBodyBytes = 64 * 1024;
+const maxBodyBytes = 64 * 1024;
 
-/** The server as a managed part. */
+/** Creates the server as a managed part. */
 export function createAnnounceServer(
   address: string,
-  take: (announcement: Announcement) => void,
+  onAnnouncement: (announcement: Announcement) => void,
 ): ManagedPart {
   const server = createServer((request, response) => {
-    void handleRequest(request, response, take);
+    void handleRequest(request, response, onAnnouncement);
   });
   return {
     name: `announce server ${address}`,
@@ -26,23 +26,23 @@
 async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
-  take: (announcement: Announcement) => void,
+  onAnnouncement: (announcement: Announcement) => void,
 ): Promise<void> {
   if (request.method !== 'POST' || request.url !== announcePath) {
-    answer(response, 404, `expected POST ${announcePath}`);
+    sendResponse(response, 404, `expected POST ${announcePath}`);
     return;
   }
   try {
     const body = await readBody(request);
     const parsed = announcementSchema.safeParse(JSON.parse(body));
     if (!parsed.success) {
-      answer(response, 400, parsed.error.message);
+      sendResponse(response, 400, parsed.error.message);
       return;
     }
-    take(parsed.data);
-    answer(response, 200, 'announced');
+    onAnnouncement(parsed.data);
+    sendResponse(response, 200, 'announced');
   } catch (error) {
-    answer(response, 400, String(error));
+    sendResponse(response, 400, String(error));
   }
 }
 
@@ -51,15 +51,15 @@
   let size = 0;
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > maximumBodyBytes) {
-      throw new Error(`expected at most ${maximumBodyBytes} bytes`);
+    if (size > maxBodyBytes) {
+      throw new Error(`expected at most ${maxBodyBytes} bytes`);
     }
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString('utf8');
 }
 
-function answer(response: ServerResponse, status: number, message: string): void {
+function sendResponse(response: ServerResponse, status: number, message: string): void {
   response.writeHead(status, { 'content-type': 'application/json' });
   response.end(JSON.stringify({ message }));
 }
--- a/src/sidecar/upstream/announcement.ts
+++ b/src/sidecar/upstream/announcement.ts
@@ -1,8 +1,8 @@
 import { z } from 'zod';
 
 /**
- * What the upstream beside a sidecar says of itself, by `POST /announce`, about twice a second.
- * The form is described for upstreams in docs/UPSTREAMS.md.
+ * Status that the local upstream announces by `POST /announce`, about twice a second.
+ * docs/UPSTREAMS.md describes the format for authors of upstreams.
  */
 
 const artifact = z
@@ -22,7 +22,7 @@
   .readonly();
 
 const common = {
-  /** `ip:port` where the upstream takes requests. */
+  /** `ip:port` where the upstream accepts requests. */
   address: z.string(),
   isHealthy: z.boolean(),
   load,
--- a/src/sidecar/upstream/index.ts
+++ b/src/sidecar/upstream/index.ts
@@ -1,3 +1,7 @@
 export { createAnnounceServer } from './announce-server.js';
 export { announcementSchema, type Announcement } from './announcement.js';
-export { announcementLimit, UpstreamMonitor, type UpstreamState } from './upstream-monitor.js';
+export {
+  announcementTimeout as announcementLimit,
+  UpstreamMonitor,
+  type UpstreamState,
+} from './upstream-monitor.js';
--- a/src/sidecar/upstream/upstream-monitor.ts
+++ b/src/sidecar/upstream/upstream-monitor.ts
@@ -2,12 +2,12 @@
 import type { Address, Load, Upstream } from '../../model/index.js';
 import type { Announcement } from './announcement.js';
 
-/** Decides whether the upstream beside the sidecar is there; free of I/O. */
+/** Decides whether the local upstream is present; performs no I/O. */
 
-/** An upstream that announced nothing for this long counts as gone. */
-export const announcementLimit: Milliseconds = 2000;
+/** An upstream that has not announced itself for this long counts as absent. */
+export const announcementTimeout: Milliseconds = 2000;
 
-/** What the sidecar knows of the upstream beside it. */
+/** State of the local upstream as known to the sidecar. */
 export type UpstreamState =
   | { readonly type: 'absent' }
   | {
@@ -18,21 +18,21 @@
       readonly load: Load;
     };
 
-/** Keeps the last announcement and forgets it when no other follows. */
+/** Keeps the last announcement until it expires. */
 export class UpstreamMonitor {
   #last: { readonly announcement: Announcement; readonly at: Milliseconds } | undefined;
 
-  announce(announcement: Announcement, now: Milliseconds): void {
+  recordAnnouncement(announcement: Announcement, now: Milliseconds): void {
     this.#last = { announcement, at: now };
   }
 
-  /** A failed call proves more than a late announcement: the upstream counts as gone until it announces itself again. */
+  /** A failed call is stronger evidence than a late announcement: the upstream counts as absent until its next announcement. */
   reportUnreachable(): void {
     this.#last = undefined;
   }
 
   read(now: Milliseconds): UpstreamState {
-    if (this.#last === undefined || now - this.#last.at > announcementLimit) {
+    if (this.#last === undefined || now - this.#last.at > announcementTimeout) {
       return { type: 'absent' };
     }
     const { announcement } = this.#last;
