--- a/__tests__/storage/data-folder.test.ts
+++ b/__tests__/storage/data-folder.test.ts
@@ -60,7 +60,7 @@
 }
 
 describe('data folder', () => {
-  it('gives back what was written, in a later process', async () => {
+  it('restores what was written when it is opened again', async () => {
     const fixture = new Fixture();
     await fixture.fill();
     const state = await fixture.create().open();
@@ -69,9 +69,9 @@
     expect(listIndexes(state)).toEqual([1, 2, 3]);
   });
 
-  // Symptom: the process does not start after a loss of power. Sequence: power is lost while a batch is written.
-  // Cause: the last batch is incomplete; it was never synced, so nothing was answered for it and it may go.
-  it('cuts off a torn tail and says so', async () => {
+  // Failure: the process does not start after a power failure during the write of a batch. The last batch is then incomplete.
+  // It was never synced or acknowledged, so it may be discarded.
+  it('truncates a torn tail and reports it', async () => {
     const fixture = new Fixture();
     await fixture.fill();
     fixture.files.tamper(logPath, (content) => content.subarray(0, content.length - 5));
@@ -86,9 +86,9 @@
     expect(listIndexes(await fixture.create().open())).toEqual([1, 2, 3]);
   });
 
-  // Symptom: an accepted change is gone. Sequence: a sector in the middle of the log goes bad, the process restarts.
-  // Cause: what follows the bad place was answered; cutting it off would forget it in silence.
-  it('stops at a damaged middle', async () => {
+  // Failure: an accepted change is lost after a sector in the middle of the log goes bad and the process restarts.
+  // The entries after the damage were acknowledged; truncating the log there would lose them silently.
+  it('refuses to open a log that is damaged in the middle', async () => {
     const fixture = new Fixture();
     await fixture.fill();
     fixture.files.tamper(logPath, (content) => {
@@ -98,8 +98,8 @@
     expect(await findFailure(fixture.create().open())).toBe('damagedLog');
   });
 
-  // As above, with the damage in the length of a batch, which tells where the next one begins.
-  it('stops at a damaged length', async () => {
+  // As above, with the damage in the length of a batch, which locates the next batch.
+  it('refuses to open a log with a damaged batch length', async () => {
     const fixture = new Fixture();
     await fixture.fill();
     fixture.files.tamper(logPath, (content) => {
@@ -109,18 +109,18 @@
     expect(await findFailure(fixture.create().open())).toBe('damagedLog');
   });
 
-  // Symptom: a host votes twice in a term. Sequence: its file of term and vote is lost or an old copy, the log is not.
-  // Cause: a term is synced before any entry of it, so a log of a later term shows that the vote is not the newest.
-  it('stops when the term is older than the log', async () => {
+  // Failure: a host votes twice in a term because its term-and-vote file is lost or replaced by an old copy while the log is intact.
+  // A term is synced before any entry of that term, so a log with a later term shows that the stored vote is outdated.
+  it('refuses to open when the stored term is older than the log', async () => {
     const fixture = new Fixture();
     await fixture.fill();
     await fixture.files.remove('/data/term-and-vote');
     expect(await findFailure(fixture.create().open())).toBe('damagedLog');
   });
 
-  // Symptom: a wiped host takes part as if it were blank. Sequence: only some files of the folder are lost.
-  // Cause: without the identity the folder would get a new storage id although it holds a vote.
-  it('stops when the identity is missing from a used folder', async () => {
+  // Failure: a host that lost only some files of its folder takes part as if the folder were new.
+  // Without the identity, the folder would get a new storage id although it holds a vote.
+  it('refuses to open a used folder without its identity', async () => {
     const fixture = new Fixture();
     await fixture.fill();
     await fixture.files.remove('/data/identity');
@@ -129,7 +129,7 @@
 
   it.each([
     ['the folder of another host', 'b', undefined],
-    ['a folder with files of something else', 'a', '/data/photographs'],
+    ['a folder with unknown files', 'a', '/data/photographs'],
   ])('refuses %s', async (_case, name, strangePath) => {
     const fixture = new Fixture();
     await fixture.fill();
@@ -155,16 +155,16 @@
     expect(listIndexes(state)).toEqual([19, 20]);
   });
 
-  // Symptom: two logs in one. Sequence: another host's snapshot replaces a log with other entries; power is lost between
-  // the snapshot and the log, and again later. Cause: the old entries would come back after the new ones.
-  it('forgets entries that a snapshot replaced', async () => {
+  // Failure: entries of two different logs are mixed. Another host's snapshot replaces a log with other entries; power fails between
+  // the writes of the snapshot and the log, and again later. The replaced entries would then reappear after the new ones.
+  it('discards entries that a snapshot replaced', async () => {
     const fixture = new Fixture();
     await fixture.fill();
     const folder = fixture.create();
     await folder.open();
     const snapshot = { index: 2, term: 2, membership: { voters: [], learners: [] }, data: '{}' };
     await folder.write([{ type: 'hardState', hardState: { term: 2 } }]);
-    // Identity, term and snapshot are replaced by a write, a rename and a sync of the folder each.
+    // Replacing the identity, the term or the snapshot takes three operations: a write, a rename and a sync of the folder.
     fixture.files.remainingOperations = 3;
     const write = folder.write([
       { type: 'snapshot', snapshot, compactThrough: 2, discardsLog: true },
@@ -188,7 +188,7 @@
   'snapshot',
 );
 
-/** Makes the changes that a core could: entries that follow, terms that grow, snapshots of what is there. */
+/** Creates changes that the consensus core could make: consecutive entries, growing terms, own and received snapshots. */
 function createChange(type: DiskChange['type'], state: StoredState, number: number): DiskChange {
   const snapshotIndex = state.snapshot?.index ?? 0;
   const lastIndex = state.entries.at(-1)?.index ?? snapshotIndex;
@@ -213,10 +213,10 @@
   }
 }
 
-describe('a crash', () => {
-  // Symptom: an answered promise is forgotten. Sequence: any writes, a loss of power at any operation of the disk, with
-  // any part of the last batch on it. Cause: something was answered before file and folder were synced.
-  it('loses nothing that was reported as synced', async () => {
+describe('journal', () => {
+  // Failure: an acknowledged promise is lost because it was acknowledged before file and folder were synced.
+  // Tries random writes with a power failure at any disk operation, after which any part of the last batch may be on the disk.
+  it('loses nothing in a crash that was reported as synced', async () => {
     const property = fc.asyncProperty(
       fc.array(change, { minLength: 1, maxLength: 25 }),
       fc.nat(60),
@@ -251,7 +251,7 @@
     await fc.assert(property, { numRuns: 1500, seed: 3 });
   });
 
-  it('shares one sync among the changes that came during another', async () => {
+  it('shares one sync among the changes added during another', async () => {
     const fixture = new Fixture();
     const folder = fixture.create();
     await folder.open();
@@ -270,9 +270,9 @@
     expect(fixture.files.syncCount).toBe(1);
   });
 
-  // Symptom: a change is answered although its write failed. Sequence: a sync fails, a later one succeeds.
-  // Cause: after a failed sync the kernel may have dropped the data that it could not write.
-  it('or a failed write ends all answers', async () => {
+  // Failure: a change is acknowledged although its write failed, because a sync fails and a later one succeeds.
+  // After a failed sync the kernel may have dropped the data that it could not write.
+  it('acknowledges nothing after a failed write', async () => {
     const fixture = new Fixture();
     const folder = fixture.create();
     await folder.open();
--- a/__tests__/storage/memory-file-system.ts
+++ b/__tests__/storage/memory-file-system.ts
@@ -7,15 +7,15 @@
   synced: Buffer;
 }
 
-/** Files in memory; content counts once its file is synced, a name once its folder is. */
+/** An in-memory file system: content is durable once its file is synced, a name once its folder is synced. */
 export class MemoryFileSystem implements FileSystem {
   #names = new Map<string, MemoryFile>();
   #syncedNames = new Map<string, MemoryFile>();
-  /** Operations until the disk refuses everything. */
+  /** Number of operations that succeed before every further one fails. */
   remainingOperations = Number.POSITIVE_INFINITY;
   syncCount = 0;
 
-  /** Loses what was not synced, but for the first bytes of what was appended last. */
+  /** Discards unsynced data, except the first `keptBytes` bytes of what was appended after the last sync. */
   crash(keptBytes: number): void {
     this.remainingOperations = Number.POSITIVE_INFINITY;
     for (const file of this.#syncedNames.values()) {
@@ -27,7 +27,7 @@
     this.#names = new Map(this.#syncedNames);
   }
 
-  /** Changes a file behind the system's back. */
+  /** Changes the content of a file directly, as corruption would. */
   tamper(path: string, change: (content: Buffer) => Buffer): void {
     const file = this.#find(path);
     file.content = change(Buffer.from(file.content));
@@ -42,7 +42,7 @@
     return this.#find(path).content.length;
   }
 
-  readonly makeFolder = (): Promise<void> => Promise.resolve();
+  readonly createFolder = (): Promise<void> => Promise.resolve();
 
   readonly listFiles = (folder: string): Promise<readonly string[]> => {
     const paths = [...this.#names.keys()].filter((path) => dirname(path) === folder);
--- a/__tests__/watch/routing-histories.test.ts
+++ b/__tests__/watch/routing-histories.test.ts
@@ -1,19 +1,19 @@
 import { describe, expect, it } from 'vitest';
 
 import { createRandomSource, type RandomSource } from '../../src/common/index.js';
-import { RoutingWorld } from './routing-world.js';
+import { RoutingSimulation } from './routing-simulation.js';
 
-/** Histories for each run of the tests; more by hand with the variable. */
-const histories = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? '30');
-const faultsInHistory = 25;
-/** Gateways serve keys this long after control last vouched for what they have in force. */
-const vouchLimit = 2500;
-/** A key that was taken away may work for this long. */
+/** Number of random histories per test; the environment variable overrides it for longer runs. */
+const historyCount = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? '30');
+const faultsPerHistory = 25;
+/** Gateways accept keys for this long after a control host last confirmed their routing state. */
+const confirmationLimit = 2500;
+/** A revoked key may be accepted for this long. */
 const revocationLimit = 5000;
-/** A change has to be in force after this time where nothing is disturbed. */
+/** Without faults, a change has to take effect within this time. */
 const applyLimit = 2000;
-/** A slow link takes this long for a message. */
-const slowest = 400;
+/** Upper bound of the delay of a message on a slow link. */
+const maximumLinkDelay = 400;
 
 function pick<Item>(random: RandomSource, items: readonly Item[]): Item {
   const item = items[random.integerBelow(items.length)];
@@ -23,108 +23,111 @@
   return item;
 }
 
-function strike(world: RoutingWorld, random: RandomSource): void {
-  const control = pick(random, world.controls);
-  const gateway = pick(random, world.gateways);
+function injectFault(simulation: RoutingSimulation, random: RandomSource): void {
+  const control = pick(random, simulation.controls);
+  const gateway = pick(random, simulation.gateways);
   switch (random.integerBelow(9)) {
     case 0:
       control.isDown = true;
       return;
     case 1:
     case 2:
-      world.restartControl(control);
+      simulation.restartControl(control);
       return;
     case 3:
-      control.isCut = !control.isCut;
+      control.isPartitioned = !control.isPartitioned;
       return;
     case 4:
-      control.pace = 1 - control.pace > 0 ? 10 : random.integerBelow(2);
+      control.changesPerTick = 1 - control.changesPerTick > 0 ? 10 : random.integerBelow(2);
       return;
     case 5:
-      world.restartGateway(gateway);
+      simulation.restartGateway(gateway);
       return;
     case 6:
-      gateway.isCut = !gateway.isCut;
+      gateway.isPartitioned = !gateway.isPartitioned;
       return;
     default:
-      gateway.delay = gateway.delay > 1 ? 1 : random.integerBelow(slowest);
+      gateway.linkDelay = gateway.linkDelay > 1 ? 1 : random.integerBelow(maximumLinkDelay);
   }
 }
 
-/** Whoever is vouched for has at least what was accepted before the limit, so that keys taken away then do not work. */
-function checkVouched(world: RoutingWorld): void {
-  for (const { keeper, version } of world.gateways) {
-    const { vouchedAt, isSynchronized } = keeper.read();
-    const isVouched = isSynchronized && world.now - (vouchedAt ?? -vouchLimit) < vouchLimit;
-    const owed = world.versionBefore(revocationLimit);
-    if (isVouched && version < owed) {
-      world.violations.push(`vouched for ${version}, ${owed} was accepted 5 s before`);
+/** A gateway with a confirmed state must have all changes accepted before the limit, so that keys revoked by then are rejected. */
+function checkConfirmedVersions(simulation: RoutingSimulation): void {
+  for (const { tracker, version } of simulation.gateways) {
+    const { vouchedAt, isSynchronized } = tracker.read();
+    const isConfirmed =
+      isSynchronized && simulation.now - (vouchedAt ?? -confirmationLimit) < confirmationLimit;
+    const requiredVersion = simulation.versionBefore(revocationLimit);
+    if (isConfirmed && version < requiredVersion) {
+      simulation.violations.push(
+        `confirmed at version ${version}, but ${requiredVersion} was accepted 5 s before`,
+      );
     }
   }
 }
 
-function heal(world: RoutingWorld): void {
-  world.controls.forEach((control) => {
-    control.isCut = false;
-    control.pace = 10;
+function removeFaults(simulation: RoutingSimulation): void {
+  simulation.controls.forEach((control) => {
+    control.isPartitioned = false;
+    control.changesPerTick = 10;
     if (control.isDown) {
-      world.restartControl(control);
+      simulation.restartControl(control);
     }
   });
-  world.gateways.forEach((gateway) => {
-    gateway.isCut = false;
-    gateway.delay = 1;
+  simulation.gateways.forEach((gateway) => {
+    gateway.isPartitioned = false;
+    gateway.linkDelay = 1;
   });
 }
 
-async function playHistory(seed: number, vouchesAlways = false): Promise<RoutingWorld> {
+async function runHistory(seed: number, confirmsStaleState = false): Promise<RoutingSimulation> {
   const random = createRandomSource(seed);
-  const world = new RoutingWorld(random, 5, 8);
-  world.vouchesAlways = vouchesAlways;
-  world.accept();
-  await world.run(3000);
-  for (let fault = 0; fault < faultsInHistory; fault += 1) {
-    strike(world, random);
+  const simulation = new RoutingSimulation(random, 5, 8);
+  simulation.confirmsStaleState = confirmsStaleState;
+  simulation.accept();
+  await simulation.run(3000);
+  for (let fault = 0; fault < faultsPerHistory; fault += 1) {
+    injectFault(simulation, random);
     for (let change = random.integerBelow(4); change > 0; change -= 1) {
-      world.accept();
-      await world.run(50 * (1 + random.integerBelow(8)));
-      checkVouched(world);
+      simulation.accept();
+      await simulation.run(50 * (1 + random.integerBelow(8)));
+      checkConfirmedVersions(simulation);
     }
-    await world.run(50 * random.integerBelow(20));
-    checkVouched(world);
+    await simulation.run(50 * random.integerBelow(20));
+    checkConfirmedVersions(simulation);
   }
-  return world;
+  return simulation;
 }
 
 /**
- * What could go wrong: a change that was acknowledged is not in force in time, or a gateway goes back to an older one, because it follows a
- * control host that restarted, lags or is cut off, or because it reads behind a slow link what newer changes have replaced.
+ * Failures guarded against: an acknowledged change does not take effect in time, or a gateway reverts to an older one. Causes: the gateway
+ * follows a control host that restarted, lags or is partitioned, or a slow link delivers messages that newer changes have superseded.
  */
-describe('configuration at gateways, under lost and lagging control hosts, cuts and slow links', () => {
-  it('never goes back, and is vouched for only while it is new enough', async () => {
-    for (let seed = 1; seed <= histories; seed += 1) {
-      const { violations } = await playHistory(seed);
+describe('routing state of gateways, with failing and lagging control hosts, partitions and slow links', () => {
+  it('never reverts, and is confirmed only while it is recent enough', async () => {
+    for (let seed = 1; seed <= historyCount; seed += 1) {
+      const { violations } = await runHistory(seed);
       expect({ seed, violations }).toEqual({ seed, violations: [] });
     }
   });
 
-  it('is seen to go wrong where control hosts vouch for what is old', async () => {
+  it('fails this check when control hosts confirm outdated state', async () => {
     const found: string[] = [];
-    for (let seed = 1; seed <= histories; seed += 1) {
-      found.push(...(await playHistory(seed, true)).violations);
+    for (let seed = 1; seed <= historyCount; seed += 1) {
+      found.push(...(await runHistory(seed, true)).violations);
     }
-    expect(found.join()).toContain('vouched for');
+    expect(found.join()).toContain('confirmed at version');
   });
 
-  it('is in force everywhere in time once the faults end, with every route that was added', async () => {
-    for (let seed = 1; seed <= histories; seed += 1) {
-      const world = await playHistory(seed);
-      heal(world);
-      await world.run(4000);
-      world.accept();
-      await world.run(applyLimit);
-      const { newestVersion } = world;
-      const tables = world.gateways.map(({ keeper }) => keeper.read().table);
+  it('reaches all gateways in time once the faults end, with every route that was added', async () => {
+    for (let seed = 1; seed <= historyCount; seed += 1) {
+      const simulation = await runHistory(seed);
+      removeFaults(simulation);
+      await simulation.run(4000);
+      simulation.accept();
+      await simulation.run(applyLimit);
+      const { newestVersion } = simulation;
+      const tables = simulation.gateways.map(({ tracker }) => tracker.read().table);
       for (let version = 1; version <= newestVersion; version += 1) {
         const found = tables.map((table) => table?.findRoute('desk.example', `/r-${version}/x`));
         const names = found.map((route) => route?.name);
--- a/__tests__/watch/routing-world.ts
+++ b/__tests__/watch/routing-simulation.ts
@@ -2,24 +2,24 @@
 import { RoutingHub } from '../../src/control/routing/index.js';
 import { initialRoutingState, type RoutingState } from '../../src/control/state/index.js';
 import type { RoutingWatchResponse } from '../../src/generated/pistachiospoke/v1/routing_pb.js';
-import { decodeRoutingEvents, RoutingKeeper } from '../../src/watch/index.js';
+import { decodeRoutingEvents, RoutingStateTracker } from '../../src/watch/index.js';
 import type { MessageQueue } from '../../src/wire/index.js';
 import { createDocument, streamRoute } from '../routing/documents.js';
 
 /**
- * Control hosts that take accepted changes at their own pace, and gateways that watch one of them behind a link of their own: with the real
- * hubs, queues and keepers, in one simulated time.
+ * Simulates control hosts that apply accepted changes at different speeds, and gateways that each watch one of them over their own
+ * link. Uses the real hubs, queues and state trackers in simulated time.
  */
 
 export const tick: Milliseconds = 50;
-const signInterval: Milliseconds = 500;
-const silenceLimit: Milliseconds = 1600;
-const longestReconnectDelay: Milliseconds = 500;
-/** A control host is up to date while it had everything that was accepted this long ago. */
+const statusInterval: Milliseconds = 500;
+const streamIdleLimit: Milliseconds = 1600;
+const maximumReconnectDelay: Milliseconds = 500;
+/** A control host counts as up to date for this long after it last had every accepted change. */
 const freshnessLimit: Milliseconds = 1500;
 
-interface Accepted {
-  readonly at: Milliseconds;
+interface AcceptedChange {
+  readonly acceptedAt: Milliseconds;
   readonly state: RoutingState;
 }
 
@@ -27,45 +27,45 @@
   hub = new RoutingHub();
   applied = 0;
   isDown = false;
-  isCut = false;
-  /** Changes that it takes in a tick. */
-  pace = 10;
+  isPartitioned = false;
+  /** Maximum number of changes applied in one tick. */
+  changesPerTick = 10;
   freshAt: Milliseconds = 0;
 }
 
 export class SimulatedGateway {
-  keeper = new RoutingKeeper();
+  tracker = new RoutingStateTracker();
   queue: MessageQueue<RoutingWatchResponse> | undefined;
   reader: AsyncIterator<RoutingWatchResponse> | undefined;
   control: SimulatedControl | undefined;
   pending: RoutingWatchResponse | undefined;
   isReading = false;
   arrivesAt: Milliseconds = 0;
-  heardAt: Milliseconds = 0;
-  connectsAt: Milliseconds = 0;
-  turn: number;
-  isCut = false;
-  /** Time that a message takes on its link. */
-  delay: Milliseconds = 1;
+  lastMessageAt: Milliseconds = 0;
+  connectAfter: Milliseconds = 0;
+  controlIndex: number;
+  isPartitioned = false;
+  /** Transmission time of a message on the link of this gateway. */
+  linkDelay: Milliseconds = 1;
 
-  constructor(turn: number) {
-    this.turn = turn;
+  constructor(controlIndex: number) {
+    this.controlIndex = controlIndex;
   }
 
   get version(): number {
-    return this.keeper.read().table?.document.version ?? 0;
+    return this.tracker.read().table?.document.version ?? 0;
   }
 }
 
-export class RoutingWorld {
+export class RoutingSimulation {
   readonly controls: readonly SimulatedControl[];
   readonly gateways: readonly SimulatedGateway[];
   readonly violations: string[] = [];
   now: Milliseconds = 0;
-  /** A fault put in on purpose: control hosts vouch for their state whether or not it is up to date. */
-  vouchesAlways = false;
+  /** Injected fault: control hosts confirm their state even when it is outdated. */
+  confirmsStaleState = false;
   readonly #random: RandomSource;
-  readonly #accepted: Accepted[] = [{ at: 0, state: initialRoutingState }];
+  readonly #accepted: AcceptedChange[] = [{ acceptedAt: 0, state: initialRoutingState }];
 
   constructor(random: RandomSource, controlCount: number, gatewayCount: number) {
     this.#random = random;
@@ -81,15 +81,15 @@
     return this.newest.document?.version ?? 0;
   }
 
-  /** A change is accepted: the next version, with a route of its own. */
+  /** Accepts a change: the next version, with one more route. */
   accept(): void {
     const version = this.newestVersion + 1;
     const routes = [...(this.newest.document?.routes ?? []), addRoute(version)];
     const document = createDocument({ version, routes });
-    this.#accepted.push({ at: this.now, state: { ...this.newest, document } });
+    this.#accepted.push({ acceptedAt: this.now, state: { ...this.newest, document } });
   }
 
-  /** Its disk is kept, at the state of a while ago; it takes the rest anew. */
+  /** Restarts a control host from its disk, which may lack the last few changes; it applies those again. */
   restartControl(control: SimulatedControl): void {
     control.hub.close();
     control.hub = new RoutingHub();
@@ -100,7 +100,7 @@
 
   restartGateway(gateway: SimulatedGateway): void {
     this.#disconnect(gateway);
-    gateway.keeper = new RoutingKeeper();
+    gateway.tracker = new RoutingStateTracker();
   }
 
   async run(duration: Milliseconds): Promise<void> {
@@ -116,9 +116,9 @@
     }
   }
 
-  /** The newest version that was accepted this long ago. */
+  /** The newest version that had been accepted by this long ago. */
   versionBefore(age: Milliseconds): number {
-    const known = this.#accepted.findLast(({ at }) => at <= this.now - age);
+    const known = this.#accepted.findLast(({ acceptedAt }) => acceptedAt <= this.now - age);
     return known?.state.document?.version ?? 0;
   }
 
@@ -127,19 +127,19 @@
       return;
     }
     const last = this.#accepted.length - 1;
-    if (!control.isCut) {
-      control.applied = Math.min(last, control.applied + control.pace);
+    if (!control.isPartitioned) {
+      control.applied = Math.min(last, control.applied + control.changesPerTick);
       control.freshAt = control.applied === last ? this.now : control.freshAt;
     }
     const state = this.#accepted[control.applied]?.state ?? initialRoutingState;
     control.hub.publish(control.applied, state);
-    if (this.now % signInterval === 0) {
-      control.hub.sendStatus(this.#describeSign(control));
+    if (this.now % statusInterval === 0) {
+      control.hub.sendStatus(this.#createStatus(control));
     }
   }
 
-  #describeSign(control: SimulatedControl) {
-    const isFresh = this.vouchesAlways || this.now - control.freshAt < freshnessLimit;
+  #createStatus(control: SimulatedControl) {
+    const isFresh = this.confirmsStaleState || this.now - control.freshAt < freshnessLimit;
     return { isFresh, leader: '10.0.0.1:1', voters: ['10.0.0.1:1'] };
   }
 
@@ -147,12 +147,12 @@
     if (gateway.queue === undefined) {
       this.#connect(gateway);
     }
-    if (this.now - gateway.heardAt > silenceLimit || gateway.control?.isDown === true) {
+    if (this.now - gateway.lastMessageAt > streamIdleLimit || gateway.control?.isDown === true) {
       this.#disconnect(gateway);
       return;
     }
-    // Several messages arrive in one tick where the link lets them.
-    for (let left = tick; left > 0 && !gateway.isCut; left -= gateway.delay) {
+    // A fast link delivers several messages in one tick.
+    for (let left = tick; left > 0 && !gateway.isPartitioned; left -= gateway.linkDelay) {
       await this.#readNext(gateway);
       if (gateway.pending === undefined || gateway.arrivesAt > this.now) {
         return;
@@ -171,7 +171,7 @@
       if (gateway.reader === reader) {
         gateway.isReading = false;
         gateway.pending = done === true ? undefined : value;
-        gateway.arrivesAt = this.now + gateway.delay;
+        gateway.arrivesAt = this.now + gateway.linkDelay;
       }
     });
     await Promise.resolve().then(() => undefined);
@@ -180,13 +180,13 @@
 
   #deliver(gateway: SimulatedGateway, message: RoutingWatchResponse): void {
     gateway.pending = undefined;
-    gateway.heardAt = this.now;
+    gateway.lastMessageAt = this.now;
     const before = gateway.version;
     const verdicts = decodeRoutingEvents(message, this.now).map((event) => {
-      return gateway.keeper.handle(event);
+      return gateway.tracker.handle(event);
     });
     if (gateway.version < before) {
-      this.violations.push(`version ${before} went back to ${gateway.version}`);
+      this.violations.push(`version ${before} reverted to ${gateway.version}`);
     }
     if (verdicts.includes('leave')) {
       this.#disconnect(gateway);
@@ -194,20 +194,20 @@
   }
 
   #connect(gateway: SimulatedGateway): void {
-    if (this.now < gateway.connectsAt) {
-      gateway.heardAt = this.now;
+    if (this.now < gateway.connectAfter) {
+      gateway.lastMessageAt = this.now;
       return;
     }
-    gateway.turn += 1;
-    const control = this.controls[gateway.turn % this.controls.length];
-    gateway.heardAt = this.now;
-    if (control === undefined || control.isDown || gateway.isCut) {
-      gateway.connectsAt = this.now + this.#random.integerBelow(longestReconnectDelay);
+    gateway.controlIndex += 1;
+    const control = this.controls[gateway.controlIndex % this.controls.length];
+    gateway.lastMessageAt = this.now;
+    if (control === undefined || control.isDown || gateway.isPartitioned) {
+      gateway.connectAfter = this.now + this.#random.integerBelow(maximumReconnectDelay);
       return;
     }
     gateway.control = control;
-    gateway.keeper.handle({ type: 'connected' });
-    gateway.queue = control.hub.subscribe(gateway.version, this.#describeSign(control));
+    gateway.tracker.handle({ type: 'connected' });
+    gateway.queue = control.hub.subscribe(gateway.version, this.#createStatus(control));
     gateway.reader = gateway.queue[Symbol.asyncIterator]();
   }
 
@@ -220,7 +220,7 @@
     gateway.control = undefined;
     gateway.pending = undefined;
     gateway.isReading = false;
-    gateway.connectsAt = this.now + this.#random.integerBelow(longestReconnectDelay);
+    gateway.connectAfter = this.now + this.#random.integerBelow(maximumReconnectDelay);
   }
 }
 
--- a/__tests__/watch/watched-state.test.ts
+++ b/__tests__/watch/watched-state.test.ts
@@ -7,22 +7,22 @@
 import { ReconnectPacing, WatchedStateKeeper, type WatchEvent } from '../../src/watch/index.js';
 
 const seed = 20_261_202;
-/** Seeds as far apart as those that processes draw: sources of neighbouring seeds begin with nearly the same number. */
+/** Spreads the seeds like those of real processes: random sources with adjacent seeds start with nearly the same number. */
 const seedStep = 0x9e3779b1;
 const numRuns = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? 1000);
 
-/** One control host's account of itself: its log index decides what it tells. */
-interface Account {
-  /** How many commands it has applied; each makes one revision and one placement. */
+/** State of one control host on a new connection; its log index determines what it sends. */
+interface ControlHostState {
+  /** Number of applied commands; each produces one revision and one placement. */
   readonly index: number;
-  /** Messages that arrive before the connection breaks. */
-  readonly arriving: number;
+  /** Number of messages that arrive before the connection breaks. */
+  readonly deliveredMessages: number;
   readonly isFresh: boolean;
 }
 
-const account: fc.Arbitrary<Account> = fc.record({
+const controlHostState: fc.Arbitrary<ControlHostState> = fc.record({
   index: fc.integer({ min: 1, max: 12 }),
-  arriving: fc.integer({ min: 0, max: 5 }),
+  deliveredMessages: fc.integer({ min: 0, max: 5 }),
   isFresh: fc.boolean(),
 });
 
@@ -33,8 +33,12 @@
   return { group: { ...group, fencingNumber }, isServing: true };
 }
 
-/** What a control host sends on a new connection, followed by its next two changes. */
-function tell({ index, arriving, isFresh }: Account): readonly WatchEvent[] {
+/** What a control host sends on a new connection, followed by its next change. */
+function createEvents({
+  index,
+  deliveredMessages,
+  isFresh,
+}: ControlHostState): readonly WatchEvent[] {
   const events: readonly WatchEvent[] = [
     { type: 'configuration', revision: index, configuration: emptyConfiguration },
     { type: 'group', index, group: createGroup(index) },
@@ -42,21 +46,21 @@
     { type: 'heartbeat', index, isFresh },
     { type: 'group', index: index + 1, group: createGroup(index + 1) },
   ];
-  return [{ type: 'connected' }, ...events.slice(0, arriving)];
+  return [{ type: 'connected' }, ...events.slice(0, deliveredMessages)];
 }
 
-describe('what a watcher believes', () => {
-  // Symptom: an accepted change is reverted at one gateway. Sequence: its watch breaks; it turns to a control host that was cut
-  // off for long and tells an older state. Cause: taking whatever the newest connection says.
-  it('never goes back, whichever control hosts it hears', () => {
+describe('watched state', () => {
+  // Failure: an accepted change is reverted at one gateway. Its watch breaks, it connects to a control host that was partitioned for
+  // a long time and sends an older state, and the gateway applies whatever the newest connection sends.
+  it('never reverts, whichever control hosts it is received from', () => {
     fc.assert(
-      fc.property(fc.array(account, { maxLength: 8 }), (accounts) => {
-        const keeper = new WatchedStateKeeper();
+      fc.property(fc.array(controlHostState, { maxLength: 8 }), (controlHostStates) => {
+        const tracker = new WatchedStateKeeper();
         let revision = 0;
         let fencingNumber = 0;
-        for (const event of accounts.flatMap(tell)) {
-          keeper.handle(event);
-          const state = keeper.read();
+        for (const event of controlHostStates.flatMap(createEvents)) {
+          tracker.handle(event);
+          const state = tracker.read();
           const newest = state.groups.get('desk/1')?.group.fencingNumber ?? fencingNumber;
           expect(state.revision).toBeGreaterThanOrEqual(revision);
           expect(newest).toBeGreaterThanOrEqual(fencingNumber);
@@ -68,37 +72,39 @@
     );
   });
 
-  it('leaves a control host that is behind, or that lost its quorum', () => {
-    const keeper = new WatchedStateKeeper();
-    tell({ index: 5, arriving: 3, isFresh: true }).forEach((event) => keeper.handle(event));
-    expect(keeper.handle({ type: 'heartbeat', index: 5, isFresh: false })).toBe('leave');
-    keeper.handle({ type: 'connected' });
+  it('leaves a control host that lags or has lost its quorum', () => {
+    const tracker = new WatchedStateKeeper();
+    createEvents({ index: 5, deliveredMessages: 3, isFresh: true }).forEach((event) =>
+      tracker.handle(event),
+    );
+    expect(tracker.handle({ type: 'heartbeat', index: 5, isFresh: false })).toBe('leave');
+    tracker.handle({ type: 'connected' });
     const older = {
       type: 'configuration',
       revision: 4,
       configuration: emptyConfiguration,
     } as const;
-    expect(keeper.handle(older)).toBe('leave');
-    expect(keeper.handle({ type: 'synchronized', index: 4 })).toBe('leave');
-    expect(keeper.read()).toMatchObject({ revision: 5, isSynchronized: true });
+    expect(tracker.handle(older)).toBe('leave');
+    expect(tracker.handle({ type: 'synchronized', index: 4 })).toBe('leave');
+    expect(tracker.read()).toMatchObject({ revision: 5, isSynchronized: true });
   });
 });
 
-describe('waits between connections', () => {
-  it('grow to a bound while no control host is of use, and start again once one was', () => {
-    const pacing = new ReconnectPacing(createRandomSource(seed));
-    const waits = Array.from({ length: 20 }, () => pacing.next());
-    expect(waits[0]).toBeLessThanOrEqual(200);
-    expect(Math.max(...waits)).toBeLessThanOrEqual(5000);
-    expect(Math.min(...waits.slice(10))).toBeGreaterThanOrEqual(2500);
-    pacing.reset();
-    expect(pacing.next()).toBeLessThanOrEqual(200);
+describe('reconnect delays', () => {
+  it('grow to a maximum while no connection is useful, and start again after a useful one', () => {
+    const backoff = new ReconnectPacing(createRandomSource(seed));
+    const delays = Array.from({ length: 20 }, () => backoff.next());
+    expect(delays[0]).toBeLessThanOrEqual(200);
+    expect(Math.max(...delays)).toBeLessThanOrEqual(5000);
+    expect(Math.min(...delays.slice(10))).toBeGreaterThanOrEqual(2500);
+    backoff.reset();
+    expect(backoff.next()).toBeLessThanOrEqual(200);
   });
 
-  it('differ between clients, so that they do not come back in one moment', () => {
-    const waits = Array.from({ length: 100 }, (_, client) =>
+  it('differ between clients, so that they do not reconnect at the same moment', () => {
+    const delays = Array.from({ length: 100 }, (_, client) =>
       new ReconnectPacing(createRandomSource(Math.imul(client, seedStep))).next(),
     );
-    expect(new Set(waits.map((wait) => Math.round(wait / 10))).size).toBeGreaterThan(8);
+    expect(new Set(delays.map((delay) => Math.round(delay / 10))).size).toBeGreaterThan(8);
   });
 });
--- a/__tests__/wire/retired-calls.test.ts
+++ b/__tests__/wire/retired-calls.test.ts
@@ -6,22 +6,22 @@
 import { createRpcServer, RpcClientPool } from '../../src/wire/index.js';
 import { reservePort, SwallowingRelay } from '../support/index.js';
 
-/** The pool pings a connection that was idle for longer than this before it uses it again. */
+/** Longer than the idle time after which the pool pings a connection before using it again. */
 const idleMilliseconds = 2100;
 
-const closers: (() => void | Promise<void>)[] = [];
+const cleanups: (() => void | Promise<void>)[] = [];
 
 afterEach(async () => {
-  for (const close of closers.splice(0).reverse()) {
+  for (const close of cleanups.splice(0).reverse()) {
     await close();
   }
 });
 
 describe('a call on a connection that is retired', () => {
-  // Symptom: a gateway never hears of a change again, and does not end on SIGTERM. Sequence: its idle connection to a control host
-  // went silent; a call on it waits for the answer to a ping; another call retires the connection. Cause: the session
-  // manager's ping neither succeeds nor fails once its socket is gone.
-  it('fails also while the connection is being verified', async () => {
+  // Failure: a gateway receives no further changes and does not exit on SIGTERM. Its idle connection to a control host went silent,
+  // a call on it waits for the reply to a ping, and another call retires the connection. The session manager's ping neither
+  // succeeds nor fails once its socket is destroyed.
+  it('fails even while the connection is being verified', async () => {
     const address = `127.0.0.1:${await reservePort()}`;
     const server = createRpcServer({
       address,
@@ -30,11 +30,11 @@
       },
     });
     await server.open();
-    closers.push(() => server.close());
+    cleanups.push(() => server.close());
     const relay = await SwallowingRelay.open(address);
-    closers.push(() => relay.close());
+    cleanups.push(() => relay.close());
     const pool = new RpcClientPool();
-    closers.push(() => {
+    cleanups.push(() => {
       pool.close();
     });
     await pool.client(GatewayService, relay.address).counters({});
--- a/__tests__/wire/rpc-client.test.ts
+++ b/__tests__/wire/rpc-client.test.ts
@@ -6,7 +6,7 @@
 import { create } from '@bufbuild/protobuf';
 import { reservePort, SwallowingRelay } from '../support/index.js';
 
-/** A server whose watches say hello and then nothing. */
+/** Opens a server whose watches send one message and then nothing. */
 async function openQuietServer(address: string) {
   const server = createRpcServer({
     address,
@@ -27,9 +27,9 @@
 const hello = create(WatchResponseSchema, { event: { case: 'synchronized', value: {} } });
 
 describe('connections to other processes', () => {
-  // Symptom: the whole process ends with an uncaught 'PING timed out'. Sequence: something on the way loses track of a
-  // connection, its ping fails, the call on it ends, and the caller retires the connection. Cause: the session was already
-  // destroyed and its error still to come, when aborting its manager took the listener for that error away.
+  // Failure: the process crashes with an uncaught 'PING timed out'. A middlebox loses track of a connection, its ping fails, the call
+  // on it ends, and the caller retires the connection. The session was already destroyed but had not emitted its error yet when
+  // aborting its manager removed the listener for that error.
   it('survive being retired right after a failed ping', async () => {
     const address = `127.0.0.1:${await reservePort()}`;
     const server = await openQuietServer(address);
@@ -43,7 +43,7 @@
     };
     await expect(watch()).rejects.toThrow('PING timed out');
     clients.retire(relay.address);
-    // An uncaught error would come within the next turns of the event loop and fail the run.
+    // An uncaught error would be raised within the next turns of the event loop and fail the run.
     await new Promise((resolve) => setTimeout(resolve, 50));
     clients.close();
     await relay.close();
--- a/__tests__/wire/rpc-server.test.ts
+++ b/__tests__/wire/rpc-server.test.ts
@@ -14,10 +14,9 @@
   relay = undefined;
 });
 
-describe('a server of the system', () => {
-  // Symptom: a process goes on for ever after SIGTERM. Sequence: something on the way loses track of a connection to it; it is
-  // stopped. Cause: a session that was closed first and destroyed later only half-closes its socket, and the other end of
-  // a silent connection never answers.
+describe('RPC server', () => {
+  // Failure: a process never exits after SIGTERM when a middlebox has lost track of a connection to it. A session that is closed
+  // first and destroyed later only half-closes its socket, and the peer of a silent connection never completes the close.
   it('closes while a connection to it is silent', async () => {
     const address = `127.0.0.1:${await reservePort()}`;
     const routes = (router: Parameters<Parameters<typeof createRpcServer>[0]['routes']>[0]) => {
@@ -27,7 +26,7 @@
     await server.open();
     relay = await SwallowingRelay.open(address);
     const session = connect(`http://${relay.address}`);
-    // The relay resets what is left at the end of the test.
+    // The relay resets the remaining connection at the end of the test.
     session.on('error', () => undefined);
     await once(session, 'remoteSettings');
     relay.swallowOpenConnections();
--- a/src/storage/checked-file.ts
+++ b/src/storage/atomic-file.ts
@@ -7,10 +7,10 @@
 const temporarySuffix = '.temporary';
 
 /**
- * A small file that is replaced as a whole: after a crash it holds the old content or the new one, never a mixture.
- * The new content is synced under another name, then renamed, then the folder is synced.
+ * A small checksummed file that is replaced atomically: after a crash it holds the old content or the new one, never a mixture.
+ * The new content is written to a temporary file and synced, the file is renamed, and the folder is synced.
  */
-export class CheckedFile {
+export class AtomicFile {
   readonly #files: FileSystem;
   readonly #folder: string;
   readonly #name: string;
@@ -21,7 +21,7 @@
     this.#name = name;
   }
 
-  /** Undefined when the file does not exist; fails when it is damaged. */
+  /** Returns undefined when the file does not exist; throws when it is damaged. */
   async read(): Promise<unknown> {
     const bytes = await this.#files.readFile(this.#path);
     if (bytes === undefined) {
@@ -47,7 +47,7 @@
   }
 }
 
-/** Whether a file is what a crash left of a replacement. */
+/** Whether a file is the temporary file of a replacement that a crash interrupted. */
 export function isTemporaryFile(name: string): boolean {
   return name.endsWith(temporarySuffix);
 }
--- a/src/storage/data-folder.ts
+++ b/src/storage/data-folder.ts
@@ -12,7 +12,7 @@
   type StorageId,
   type StoredState,
 } from '../consensus/core/index.js';
-import { CheckedFile, isTemporaryFile } from './checked-file.js';
+import { AtomicFile, isTemporaryFile } from './atomic-file.js';
 import type { FileSystem } from './file-system.js';
 import { isLogFile, LogFiles, type StorageNotice } from './log-files.js';
 import type { LogRecord } from './log-record.js';
@@ -20,7 +20,7 @@
 const identitySchema = z
   .strictObject({
     format: z.literal(1),
-    /** Host that the folder belongs to. */
+    /** Host that owns the folder. */
     name: z.string(),
     storageId: z.string(),
     promisedTo: z.string().optional(),
@@ -29,63 +29,63 @@
 
 type Identity = z.infer<typeof identitySchema>;
 
-const identityName = 'identity';
-const hardStateName = 'term-and-vote';
-const snapshotName = 'snapshot';
-const knownNames: readonly string[] = [identityName, hardStateName, snapshotName];
+const identityFileName = 'identity';
+const hardStateFileName = 'term-and-vote';
+const snapshotFileName = 'snapshot';
+const knownFileNames: readonly string[] = [identityFileName, hardStateFileName, snapshotFileName];
 
-/** What a data folder is opened with. */
+/** Options of a data folder. */
 export interface DataFolderSettings {
   readonly files: FileSystem;
   readonly folder: string;
   readonly name: NodeName;
-  /** Makes the storage id of a new folder; never the same twice. */
+  /** Creates the storage id of a new folder; every id is unique. */
   readonly createStorageId: () => StorageId;
-  /** Size at which the log goes on in a new file. */
+  /** Size in bytes at which the log continues in a new file. */
   readonly logFileBytes: number;
   readonly notice: StorageNotice;
 }
 
-/** Log files are small enough to be read back in a moment and large enough that few are made. */
+/** Small enough that a log file is read back quickly, large enough that there are few files. */
 export const defaultLogFileBytes = 4 * 1024 * 1024;
 
-/** All durable state of a control host, under one folder. */
+/** All durable state of a control host, kept in one folder. */
 export class DataFolder {
   readonly #settings: DataFolderSettings;
-  readonly #identityFile: CheckedFile;
-  readonly #hardStateFile: CheckedFile;
-  readonly #snapshotFile: CheckedFile;
+  readonly #identityFile: AtomicFile;
+  readonly #hardStateFile: AtomicFile;
+  readonly #snapshotFile: AtomicFile;
   readonly #log: LogFiles;
   #identity: Identity | undefined;
 
   constructor(settings: DataFolderSettings) {
     const { files, folder, logFileBytes } = settings;
     this.#settings = settings;
-    this.#identityFile = new CheckedFile(files, folder, identityName);
-    this.#hardStateFile = new CheckedFile(files, folder, hardStateName);
-    this.#snapshotFile = new CheckedFile(files, folder, snapshotName);
+    this.#identityFile = new AtomicFile(files, folder, identityFileName);
+    this.#hardStateFile = new AtomicFile(files, folder, hardStateFileName);
+    this.#snapshotFile = new AtomicFile(files, folder, snapshotFileName);
     this.#log = new LogFiles(files, folder, logFileBytes);
   }
 
-  /** Reads the folder, or makes a blank one; fails with `damagedLog` or `foreignDataFolder`. */
+  /** Loads the state from the folder, or initializes an empty one; throws `damagedLog` or `foreignDataFolder`. */
   async open(): Promise<StoredState> {
-    await this.#settings.files.makeFolder(this.#settings.folder);
-    const identity = await this.#openIdentity();
-    const hardState = parse(hardStateSchema, await this.#hardStateFile.read(), hardStateName);
-    const snapshot = parse(snapshotSchema, await this.#snapshotFile.read(), snapshotName);
+    await this.#settings.files.createFolder(this.#settings.folder);
+    const identity = await this.#loadIdentity();
+    const hardState = parse(hardStateSchema, await this.#hardStateFile.read(), hardStateFileName);
+    const snapshot = parse(snapshotSchema, await this.#snapshotFile.read(), snapshotFileName);
     const entries = await this.#log.open(this.#settings.notice);
-    const usable = await this.#alignLog(snapshot, entries);
-    checkTerms(hardState, snapshot, usable);
+    const entriesAfterSnapshot = await this.#reconcileLog(snapshot, entries);
+    checkTerms(hardState, snapshot, entriesAfterSnapshot);
     return {
       storageId: identity.storageId,
       promisedTo: identity.promisedTo,
       hardState: hardState ?? { term: 0 },
       snapshot,
-      entries: usable,
+      entries: entriesAfterSnapshot,
     };
   }
 
-  /** Carries out changes in order, with as few syncs as that allows; all are synced when it resolves. */
+  /** Writes changes in order, with as few syncs as possible. All of them are synced when the promise resolves. */
   async write(changes: readonly DiskChange[]): Promise<void> {
     await this.#writeNewestHardState(changes);
     let records: LogRecord[] = [];
@@ -114,8 +114,8 @@
   }
 
   /**
-   * A term and vote may be on disk before entries that were written earlier, since no answer was given for either yet;
-   * the other way round, an entry could be of a term that the folder does not know.
+   * Writes the newest term and vote before all other changes of the batch. Overtaking earlier entries is safe, since nothing of the
+   * batch has been acknowledged yet. In the opposite order a crash could leave an entry with a later term than the stored one.
    */
   async #writeNewestHardState(changes: readonly DiskChange[]): Promise<void> {
     const newest = changes.findLast((change) => change.type === 'hardState');
@@ -145,12 +145,12 @@
     await this.#log.compact(change.compactThrough);
   }
 
-  async #openIdentity(): Promise<Identity> {
+  async #loadIdentity(): Promise<Identity> {
     const { folder, name, createStorageId } = this.#settings;
-    const identity = parse(identitySchema, await this.#identityFile.read(), identityName);
-    await this.#checkNames(identity);
+    const identity = parse(identitySchema, await this.#identityFile.read(), identityFileName);
+    await this.#checkFileNames(identity);
     if (identity !== undefined && identity.name !== name) {
-      throw foreign(`${folder} belongs to ${identity.name}, not to ${name}`);
+      throw createForeignFolderError(`${folder} belongs to ${identity.name}, not to ${name}`);
     }
     this.#identity = identity ?? { format: 1, name, storageId: createStorageId() };
     if (identity === undefined) {
@@ -159,21 +159,23 @@
     return this.#identity;
   }
 
-  /** A folder without identity is blank only when it holds nothing: else its votes would be forgotten in silence. */
-  async #checkNames(identity: Identity | undefined): Promise<void> {
+  /** A folder without an identity counts as new only when it is empty; otherwise its votes would be lost silently. */
+  async #checkFileNames(identity: Identity | undefined): Promise<void> {
     const { files, folder } = this.#settings;
     const names = (await files.listFiles(folder)).filter((name) => !isTemporaryFile(name));
-    const unknown = names.find((name) => !knownNames.includes(name) && !isLogFile(name));
+    const unknown = names.find((name) => !knownFileNames.includes(name) && !isLogFile(name));
     if (unknown !== undefined) {
-      throw foreign(`${folder} holds ${unknown}, which is none of this system's files`);
+      throw createForeignFolderError(
+        `${folder} holds ${unknown}, which is none of this system's files`,
+      );
     }
     if (identity === undefined && names.length > 0) {
-      throw damaged(`${folder} has no file ${identityName}`);
+      throw createDamagedLogError(`${folder} has no file ${identityFileName}`);
     }
   }
 
-  /** Drops entries that a snapshot replaced, where a crash came between the snapshot and the log. */
-  async #alignLog(
+  /** Drops entries that a snapshot replaced, in case of a crash after the snapshot was written and before the log was reset. */
+  async #reconcileLog(
     snapshot: Snapshot | undefined,
     entries: readonly LogEntry[],
   ): Promise<readonly LogEntry[]> {
@@ -181,12 +183,15 @@
     const [first] = entries;
     const last = entries.at(-1);
     if (first !== undefined && first.index > index + 1) {
-      throw damaged(`the log begins at ${first.index}, the snapshot ends at ${index}`);
+      throw createDamagedLogError(
+        `the log begins at ${first.index}, the snapshot ends at ${index}`,
+      );
     }
     const entryAtSnapshot = entries.find((entry) => entry.index === index);
-    const isOtherLog = entryAtSnapshot !== undefined && entryAtSnapshot.term !== snapshot?.term;
-    const isOlder = last === undefined || last.index < index;
-    if (!isOtherLog && !isOlder) {
+    const conflictsWithSnapshot =
+      entryAtSnapshot !== undefined && entryAtSnapshot.term !== snapshot?.term;
+    const endsBeforeSnapshot = last === undefined || last.index < index;
+    if (!conflictsWithSnapshot && !endsBeforeSnapshot) {
       return entries.filter((entry) => entry.index > index);
     }
     if (index > 0) {
@@ -202,12 +207,12 @@
   }
   const parsed = schema.safeParse(value);
   if (!parsed.success) {
-    throw damaged(`${name} is not what this version writes`);
+    throw createDamagedLogError(`${name} is not what this version writes`);
   }
   return parsed.data;
 }
 
-/** A term is synced before any entry of it; a lower one means that the file of term and vote is old or lost. */
+/** A term is synced before any entry of that term, so a lower stored term means that the term-and-vote file is outdated or lost. */
 function checkTerms(
   hardState: HardState | undefined,
   snapshot: Snapshot | undefined,
@@ -216,14 +221,14 @@
   const term = hardState?.term ?? 0;
   const logTerm = entries.at(-1)?.term ?? snapshot?.term ?? 0;
   if (logTerm > term) {
-    throw damaged(`the log is of term ${logTerm}, ${hardStateName} of ${term}`);
+    throw createDamagedLogError(`the log is of term ${logTerm}, ${hardStateFileName} of ${term}`);
   }
 }
 
-function damaged(detail: string): FailureError {
+function createDamagedLogError(detail: string): FailureError {
   return new FailureError(createFailure('damagedLog', detail));
 }
 
-function foreign(detail: string): FailureError {
+function createForeignFolderError(detail: string): FailureError {
   return new FailureError(createFailure('foreignDataFolder', detail));
 }
--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -1,34 +1,34 @@
 import { mkdir, open, readFile, readdir, rename, rm, truncate } from 'node:fs/promises';
 
-/** The few file operations that the data folder needs, so that tests can put a disk that fails in their place. */
+/** The file operations that the data folder needs, behind an interface so that tests can substitute a failing disk. */
 
-/** A file that only grows. */
+/** An append-only file. */
 export interface AppendFile {
   readonly append: (bytes: Uint8Array) => Promise<void>;
-  /** Resolves once everything appended so far would survive a loss of power. */
+  /** Resolves once everything appended so far survives a power failure. */
   readonly sync: () => Promise<void>;
   readonly close: () => Promise<void>;
 }
 
 export interface FileSystem {
-  /** Creates a folder and the folders above it where they are missing. */
-  readonly makeFolder: (path: string) => Promise<void>;
+  /** Creates a folder and its missing parents. */
+  readonly createFolder: (path: string) => Promise<void>;
   readonly listFiles: (folder: string) => Promise<readonly string[]>;
-  /** Undefined when there is no such file. */
+  /** Returns undefined when the file does not exist. */
   readonly readFile: (path: string) => Promise<Uint8Array | undefined>;
-  /** Writes a whole file and syncs its content; its name is synced by `syncFolder`. */
+  /** Writes a whole file and syncs its content; `syncFolder` makes its directory entry durable. */
   readonly writeFile: (path: string, bytes: Uint8Array) => Promise<void>;
   readonly openForAppend: (path: string) => Promise<AppendFile>;
   readonly truncate: (path: string, length: number) => Promise<void>;
   readonly rename: (from: string, to: string) => Promise<void>;
   readonly remove: (path: string) => Promise<void>;
-  /** Makes created, renamed and removed names survive a loss of power. */
+  /** Makes the creation, renaming and removal of files in the folder survive a power failure. */
   readonly syncFolder: (folder: string) => Promise<void>;
 }
 
 /** The file system of this host. */
 export const hostFileSystem: FileSystem = {
-  makeFolder: async (path) => {
+  createFolder: async (path) => {
     await mkdir(path, { recursive: true });
   },
   listFiles: (folder) => readdir(folder),
--- a/src/storage/journal.ts
+++ b/src/storage/journal.ts
@@ -1,16 +1,16 @@
 import type { DiskChange } from '../consensus/core/index.js';
 
-/** Where a journal writes: a data folder, or a stand-in. */
+/** Destination of a journal: a data folder, or a test double. */
 export interface ChangeWriter {
-  /** All changes are synced when it resolves. */
+  /** Resolves once all changes are synced. */
   readonly write: (changes: readonly DiskChange[]) => Promise<void>;
 }
 
-/** Told how the writes go. */
+/** Receives the outcome of the writes. */
 export interface JournalObserver {
-  /** This write and all before it are synced. */
+  /** Called when this write and all earlier ones are synced. */
   readonly persisted: (write: number) => void;
-  /** The disk refused; nothing may be answered any more. */
+  /** Called when a write failed; nothing may be acknowledged from then on. */
   readonly failed: (error: unknown) => void;
 }
 
@@ -19,7 +19,7 @@
   readonly change: DiskChange;
 }
 
-/** Writes changes in order; all that came during one sync share the next one. */
+/** Writes changes in order (group commit): all changes added during one sync share the next one. */
 export class Journal {
   readonly #writer: ChangeWriter;
   readonly #observer: JournalObserver;
@@ -40,20 +40,20 @@
     this.#running ??= this.#run();
   }
 
-  /** Resolves once nothing is being written. */
+  /** Resolves once all queued changes are written, or a write has failed. */
   async drain(): Promise<void> {
     await this.#running;
   }
 
   async #run(): Promise<void> {
     try {
-      // What the present event still adds belongs to the first batch.
+      // Lets the current event add its remaining changes to the first batch.
       await Promise.resolve();
       while (this.#queue.length > 0) {
         await this.#writeBatch();
       }
     } catch (error) {
-      // After a failed sync nobody knows what is on the disk, so later writes would not make it right.
+      // After a failed sync the content of the disk is unknown, and a later successful write would not repair it.
       this.#hasFailed = true;
       this.#observer.failed(error);
     } finally {
--- a/src/storage/log-files.ts
+++ b/src/storage/log-files.ts
@@ -7,24 +7,24 @@
 import {
   decodeBatch,
   encodeBatch,
-  findRecordIndex,
+  getRecordIndex,
   LogReplay,
   type LogRecord,
 } from './log-record.js';
 
-/** Told what an operator should know; the process logs it. */
+/** Receives messages for the operator; the process logs them. */
 export type StorageNotice = (message: string) => void;
 
 /** One file of the log. */
 interface LogFile {
   readonly sequence: number;
-  /** Highest index that its records speak of. */
+  /** Highest log index in its records. */
   readonly highestIndex: number;
 }
 
 const namePattern = /^log-(\d{10})$/;
 
-/** The log on disk: files of checksummed batches, in order; old files are removed once a snapshot covers them. */
+/** The log on disk: numbered files of checksummed batches. Old files are removed once a snapshot covers them. */
 export class LogFiles {
   readonly #files: FileSystem;
   readonly #folder: string;
@@ -40,7 +40,7 @@
     this.#fileBytes = fileBytes;
   }
 
-  /** Reads all files; cuts off a torn tail, fails on other damage. */
+  /** Reads all files. Truncates a torn tail of the last file and throws on any other damage. */
   async open(notice: StorageNotice): Promise<readonly LogEntry[]> {
     const sequences = await this.#listSequences();
     const replay = new LogReplay();
@@ -48,7 +48,7 @@
       const isLast = position === sequences.length - 1;
       const previous = sequences[position - 1] ?? sequence - 1;
       if (sequence !== previous + 1) {
-        throw damaged(`${this.#pathOf(previous + 1)} is missing`);
+        throw createDamagedLogError(`${this.#pathOf(previous + 1)} is missing`);
       }
       await this.#readFile(sequence, isLast, replay, notice);
     }
@@ -56,7 +56,7 @@
     return replay.entries;
   }
 
-  /** Adds one batch and syncs it. */
+  /** Appends one batch and syncs it. */
   async append(records: readonly LogRecord[]): Promise<void> {
     if (this.#currentBytes >= this.#fileBytes) {
       await this.#startFile();
@@ -66,11 +66,11 @@
     await this.#writer?.sync();
     this.#currentBytes += frame.length;
     const { sequence, highestIndex } = this.#current;
-    const indexes = records.map(findRecordIndex);
+    const indexes = records.map(getRecordIndex);
     this.#current = { sequence, highestIndex: Math.max(highestIndex, ...indexes) };
   }
 
-  /** Removes the oldest files that speak only of entries up to an index. */
+  /** Removes the oldest files whose records all have indexes up to the given one. */
   async compact(throughIndex: number): Promise<void> {
     let removed = 0;
     for (const file of this.#older) {
@@ -109,19 +109,21 @@
     const bytes = Buffer.from((await this.#files.readFile(path)) ?? []);
     const decoded = decodeFrames(bytes);
     if (decoded.end === 'damaged' || (decoded.end === 'torn' && !isLast)) {
-      throw damaged(`${path} at byte ${decoded.goodLength}`);
+      throw createDamagedLogError(`${path} at byte ${decoded.validLength}`);
     }
     const highestIndex = replayFrames(decoded, path, replay);
     if (isLast) {
       this.#current = { sequence, highestIndex };
-      this.#currentBytes = decoded.goodLength;
+      this.#currentBytes = decoded.validLength;
     } else {
       this.#older.push({ sequence, highestIndex });
     }
     if (decoded.end === 'torn') {
-      const lost = bytes.length - decoded.goodLength;
-      notice(`${path}: cut off ${lost} bytes of a batch that was never synced nor answered`);
-      await this.#files.truncate(path, decoded.goodLength);
+      const discardedBytes = bytes.length - decoded.validLength;
+      notice(
+        `${path}: cut off ${discardedBytes} bytes of a batch that was never synced nor answered`,
+      );
+      await this.#files.truncate(path, decoded.validLength);
     }
   }
 
@@ -133,7 +135,7 @@
     await this.#openWriter();
   }
 
-  /** A new file's name is synced before anything in it counts. */
+  /** Syncs the folder after creating a file; without that, a crash could lose the file together with its synced batches. */
   async #openWriter(): Promise<void> {
     this.#writer = await this.#files.openForAppend(this.#pathOf(this.#current.sequence));
     await this.#files.syncFolder(this.#folder);
@@ -154,12 +156,12 @@
   for (const content of decoded.contents) {
     for (const record of decodeBatch(content, path)) {
       replay.add(record, path);
-      highestIndex = Math.max(highestIndex, findRecordIndex(record));
+      highestIndex = Math.max(highestIndex, getRecordIndex(record));
     }
   }
   return highestIndex;
 }
 
-function damaged(detail: string): FailureError {
+function createDamagedLogError(detail: string): FailureError {
   return new FailureError(createFailure('damagedLog', detail));
 }
--- a/src/storage/usable-folder.ts
+++ b/src/storage/usable-folder.ts
@@ -1,13 +1,13 @@
 import { accessSync, constants, mkdirSync } from 'node:fs';
 
-/** Whether there is a folder at the path that this process may write to; made where it is missing. */
+/** Creates the folder if it is missing; returns whether this process may write to it. */
 export function isFolderUsable(path: string): boolean {
   try {
     mkdirSync(path, { recursive: true });
     accessSync(path, constants.W_OK);
     return true;
   } catch {
-    // There is no disk, or it takes no files: the caller says so in its log.
+    // The disk is missing or not writable; the caller logs it.
     return false;
   }
 }
--- a/src/watch/control-watcher.ts
+++ b/src/watch/control-watcher.ts
@@ -14,17 +14,17 @@
 import { ReconnectPacing } from './reconnect-pacing.js';
 import { WatchedStateKeeper, type WatchEvent } from './watched-state-keeper.js';
 
-/** The watch client of gateways and sidecars: one stream from one control host, another when it fails. */
+/** Watch client of gateways and sidecars: streams from one control host and switches to another when that fails. */
 
-/** Control sends at least a heartbeat a second; this much silence means the connection is lost. */
-const silenceLimit: Milliseconds = 3500;
+/** Control hosts send at least one heartbeat a second; a stream without messages for this long counts as lost. */
+const streamIdleLimit: Milliseconds = 3500;
 
-/** Options of a watcher. */
+/** Options of a control watcher. */
 export interface ControlWatcherOptions {
   /** Name shown by `get --in-force`. */
   readonly watcher: string;
   readonly kind: 'gateway' | 'sidecar';
-  /** `ip:port` where the watcher serves processes of the system; empty when it serves none. */
+  /** `ip:port` where the watcher serves other processes of the system; empty when it serves none. */
   readonly address: string;
   /** Addresses of the control hosts. */
   readonly control: readonly string[];
@@ -33,39 +33,39 @@
   readonly random: RandomSource;
 }
 
-/** Keeps a watch open for as long as the process runs. */
+/** Keeps a watch open while the process runs. */
 export class ControlWatcher implements ManagedPart, WatchedStateSource {
   readonly name = 'control watcher';
   readonly #options: ControlWatcherOptions;
-  readonly #keeper = new WatchedStateKeeper();
+  readonly #tracker = new WatchedStateKeeper();
   readonly #listeners = new Set<(state: WatchedState) => void>();
-  readonly #pacing: ReconnectPacing;
-  #turn: number;
-  /** Control host and revision last acknowledged. */
+  readonly #backoff: ReconnectPacing;
+  #addressIndex: number;
+  /** Control host and revision of the last acknowledgement, as `host/revision`. */
   #acknowledged = '';
   #stream: AbortController | undefined;
-  readonly #silence: StreamSilence;
+  readonly #idleTimeout: StreamSilence;
   readonly #closing = new AbortController();
   #running: Promise<void> | undefined;
 
   constructor(options: ControlWatcherOptions) {
     this.#options = options;
-    this.#turn = options.random.integerBelow(options.control.length);
-    this.#pacing = new ReconnectPacing(options.random);
-    this.#silence = new StreamSilence(options.clients, silenceLimit);
+    this.#addressIndex = options.random.integerBelow(options.control.length);
+    this.#backoff = new ReconnectPacing(options.random);
+    this.#idleTimeout = new StreamSilence(options.clients, streamIdleLimit);
   }
 
-  /** Bound, because parts take it as a function of its own. */
-  readonly read = (): WatchedState => this.#keeper.read();
+  /** An arrow function, because callers pass it around without its object. */
+  readonly read = (): WatchedState => this.#tracker.read();
 
   readonly subscribe = (listener: (state: WatchedState) => void): (() => void) => {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   };
 
-  /** A newer revision exists and this watch has not brought it: the control host behind it may be cut off. */
+  /** Ends the stream when a newer revision exists that it has not delivered: its control host may be partitioned. */
   readonly noticeRevision = (revision: Revision): void => {
-    if (revision > this.#keeper.read().revision) {
+    if (revision > this.#tracker.read().revision) {
       this.#stream?.abort();
     }
   };
@@ -92,9 +92,9 @@
           this.#options.logger.info({ address, error: String(error) }, 'watch ended');
         }
       }
-      this.#silence.end();
+      this.#idleTimeout.end();
       if (!this.#isClosing()) {
-        await pause(this.#pacing.next(), this.#closing.signal);
+        await pause(this.#backoff.next(), this.#closing.signal);
       }
     }
   }
@@ -105,30 +105,30 @@
 
   #nextAddress(): string {
     const { control } = this.#options;
-    const address = control[this.#turn % control.length];
-    this.#turn += 1;
+    const address = control[this.#addressIndex % control.length];
+    this.#addressIndex += 1;
     if (address === undefined) {
-      throw new Error('the settings name no control host');
+      throw new Error('no control host is configured');
     }
     return address;
   }
 
   async #watch(address: string, stream: AbortController): Promise<void> {
     const { clients, watcher, kind } = this.#options;
-    // A control host that was started again knows nothing of what was acknowledged to it before.
+    // A restarted control host has lost earlier acknowledgements.
     this.#acknowledged = '';
-    this.#silence.expect(address, stream);
+    this.#idleTimeout.expect(address, stream);
     const responses = clients
       .client(ControlService, address)
       .watch(
-        { watcher, kind, configurationRevision: BigInt(this.#keeper.read().revision) },
+        { watcher, kind, configurationRevision: BigInt(this.#tracker.read().revision) },
         { signal: stream.signal },
       );
-    this.#keeper.handle({ type: 'connected' });
+    this.#tracker.handle({ type: 'connected' });
     for await (const response of responses) {
-      this.#silence.expect(address, stream);
-      if (!this.#take(response)) {
-        this.#options.logger.info({ address }, 'control host is behind; taking another');
+      this.#idleTimeout.expect(address, stream);
+      if (!this.#applyResponse(response)) {
+        this.#options.logger.info({ address }, 'control host is behind; switching to another');
         stream.abort();
         return;
       }
@@ -136,10 +136,10 @@
     }
   }
 
-  /** Sent again with the next message if it is lost; until then `get --in-force` shows the older revision. */
+  /** A failed acknowledgement is repeated after the next message; until then `get --in-force` shows the older revision. */
   #acknowledge(control: string): void {
     const { clients, watcher, kind, address, logger } = this.#options;
-    const { revision } = this.#keeper.read();
+    const { revision } = this.#tracker.read();
     if (kind !== 'gateway' || this.#acknowledged === `${control}/${revision}`) {
       return;
     }
@@ -148,7 +148,7 @@
     const state = { watcher, kind, address, configurationRevision: BigInt(revision) };
     clients
       .client(ControlService, control)
-      .acknowledge({ watcher: state }, { timeoutMs: silenceLimit })
+      .acknowledge({ watcher: state }, { timeoutMs: streamIdleLimit })
       .catch((error: unknown) => {
         if (this.#acknowledged === acknowledged) {
           this.#acknowledged = '';
@@ -157,15 +157,15 @@
       });
   }
 
-  #take(response: WatchResponse): boolean {
+  #applyResponse(response: WatchResponse): boolean {
     const event = decodeWatchEvent(response);
     if (event === undefined) {
       return true;
     }
     if (event.type === 'heartbeat' && event.isFresh) {
-      this.#pacing.reset();
+      this.#backoff.reset();
     }
-    const verdict = this.#keeper.handle(event);
+    const verdict = this.#tracker.handle(event);
     switch (verdict) {
       case 'unchanged':
         return true;
@@ -180,14 +180,14 @@
   }
 
   #notify(): void {
-    const state = this.#keeper.read();
+    const state = this.#tracker.read();
     for (const listener of this.#listeners) {
       listener(state);
     }
   }
 }
 
-/** Undefined for an event of a later version. */
+/** Returns undefined for event types of later versions. */
 function decodeWatchEvent(response: WatchResponse): WatchEvent | undefined {
   const { event } = response;
   const index = Number(response.index);
--- a/src/watch/decode-routing-event.ts
+++ b/src/watch/decode-routing-event.ts
@@ -1,9 +1,9 @@
 import { assertNever, type Milliseconds } from '../common/index.js';
 import type { RoutingWatchResponse } from '../generated/pistachiospoke/v1/routing_pb.js';
 import { engineGroupSchema, instanceSchema, routingDocumentSchema } from '../routing/index.js';
-import type { RoutingEvent } from './routing-keeper.js';
+import type { RoutingEvent } from './routing-state-tracker.js';
 
-/** What a message of a routing watch says, received at `now`; nothing for an event of a later version. Throws where it cannot be read. */
+/** Decodes a message of a routing watch received at `now`. Ignores event types of later versions; throws when the content is invalid. */
 export function decodeRoutingEvents(
   response: RoutingWatchResponse,
   now: Milliseconds,
--- a/src/watch/index.ts
+++ b/src/watch/index.ts
@@ -4,8 +4,8 @@
 export { WatchedStateKeeper, type WatchEvent, type WatchVerdict } from './watched-state-keeper.js';
 export {
   emptyRoutingView,
-  RoutingKeeper,
+  RoutingStateTracker,
   type RoutingEvent,
   type RoutingView,
-} from './routing-keeper.js';
+} from './routing-state-tracker.js';
 export { RoutingWatcher, type RoutingWatcherOptions } from './routing-watcher.js';
--- a/src/watch/reconnect-pacing.ts
+++ b/src/watch/reconnect-pacing.ts
@@ -1,35 +1,36 @@
 import type { Milliseconds, RandomSource } from '../common/index.js';
 
-/** Decides how long a client of control waits before it connects again; free of I/O. */
+/** Computes the reconnect delays of clients of control hosts; free of I/O. */
 
-const firstDelay: Milliseconds = 200;
-const longestDelay: Milliseconds = 5000;
-const growth = 2;
+const initialDelay: Milliseconds = 200;
+const defaultMaximumDelay: Milliseconds = 5000;
+const growthFactor = 2;
 
 /**
- * Waits that grow while no control host is of use, each drawn at random.
- * When control restarts, or a domain comes back, a thousand clients would otherwise connect in the same moment, each for the
- * whole state; one would notice control hosts that answer nobody in time. Random waits spread them, growing ones leave room.
+ * Exponential backoff with random jitter.
+ * When the control hosts restart or a failure domain recovers, a thousand clients would otherwise connect at the same moment and
+ * each request the whole state, and the control hosts would answer none in time. Jitter spreads the attempts out; growing delays
+ * reduce the load.
  */
 export class ReconnectPacing {
   readonly #random: RandomSource;
-  readonly #longest: Milliseconds;
-  #ceiling: Milliseconds = firstDelay;
+  readonly #maximumDelay: Milliseconds;
+  #ceiling: Milliseconds = initialDelay;
 
-  constructor(random: RandomSource, longest: Milliseconds = longestDelay) {
+  constructor(random: RandomSource, maximumDelay: Milliseconds = defaultMaximumDelay) {
     this.#random = random;
-    this.#longest = longest;
+    this.#maximumDelay = maximumDelay;
   }
 
-  /** The connection proved useful: the next loss is a new one. */
+  /** Called when a connection has proved useful; the next delay is short again. */
   reset(): void {
-    this.#ceiling = firstDelay;
+    this.#ceiling = initialDelay;
   }
 
-  /** The wait before the next attempt, between half the present ceiling and all of it. */
+  /** Returns the delay before the next attempt, between half the current ceiling and the ceiling, and raises the ceiling. */
   next(): Milliseconds {
     const delay = this.#ceiling * (1 + this.#random.fraction()) * 0.5;
-    this.#ceiling = Math.min(this.#longest, this.#ceiling * growth);
+    this.#ceiling = Math.min(this.#maximumDelay, this.#ceiling * growthFactor);
     return delay;
   }
 }
--- a/src/watch/routing-keeper.ts
+++ b/src/watch/routing-state-tracker.ts
@@ -7,9 +7,9 @@
 } from '../routing/index.js';
 import type { WatchVerdict } from './watched-state-keeper.js';
 
-/** Decides what a watcher believes of routing from what control hosts tell it; free of I/O. */
+/** Builds the routing state of a watcher from the events that control hosts send; free of I/O. */
 
-/** What a gateway or a sidecar knows of routing. */
+/** Routing state as known to a gateway or a sidecar. */
 export interface RoutingView {
   /** Undefined before the first document. */
   readonly table: RouteTable | undefined;
@@ -17,17 +17,17 @@
   readonly engineGroups: ReadonlyMap<string, EngineGroup>;
   /** Digests of the requests that must not be sent to upstreams. */
   readonly quarantined: ReadonlySet<string>;
-  /** False until the first whole state came. */
+  /** False until the first complete state has arrived. */
   readonly isSynchronized: boolean;
-  /** When a control host that was up to date with a quorum last vouched for this state; undefined for never. */
+  /** When a control host in contact with a quorum last confirmed that this state is current; undefined if that never happened. */
   readonly vouchedAt: Milliseconds | undefined;
   /** `ip:port` of the leader; empty while none is known. */
   readonly leader: string;
-  /** `ip:port` of the voters that control named last. */
+  /** `ip:port` of the voters in the last status message. */
   readonly voters: readonly string[];
 }
 
-/** What a control host tells. */
+/** Event of a routing watch. */
 export type RoutingEvent =
   | { readonly type: 'connected' }
   | { readonly type: 'document'; readonly document: RoutingDocument }
@@ -39,6 +39,7 @@
   | { readonly type: 'requestReleased'; readonly index: number; readonly request: string }
   | { readonly type: 'synchronized'; readonly index: number; readonly version: number }
   | {
+      /** Periodic status message of the control host. */
       readonly type: 'sign';
       readonly now: Milliseconds;
       readonly isFresh: boolean;
@@ -46,7 +47,7 @@
       readonly voters: readonly string[];
     };
 
-/** State before the first word of control. */
+/** State before the first event. */
 export const emptyRoutingView: RoutingView = {
   table: undefined,
   instances: new Map(),
@@ -58,22 +59,22 @@
   voters: [],
 };
 
-interface Collected {
+interface RoutingCollections {
   readonly instances: Map<string, Instance>;
   readonly engineGroups: Map<string, EngineGroup>;
   readonly quarantined: Set<string>;
 }
 
 /**
- * Keeps the newest state and never goes back.
- * A control host that lags, or that a partition cut off, offers an older state; taking it would bring back routes and keys
- * that were taken away. Such a host is left as soon as its state shows to be older than what is held.
+ * Tracks the newest state and never reverts to an older one.
+ * A control host that lags or is partitioned sends an older state; applying it would restore routes and keys that were
+ * removed. The watcher leaves such a host as soon as its state turns out to be older than the current one.
  */
-export class RoutingKeeper {
+export class RoutingStateTracker {
   #view = emptyRoutingView;
   #index = 0;
-  /** What came since the connection was opened, until the state is whole. */
-  #incoming: Collected | undefined;
+  /** State received on the current connection; undefined once it is complete. */
+  #incoming: RoutingCollections | undefined;
 
   read(): RoutingView {
     return this.#view;
@@ -89,7 +90,7 @@
         };
         return 'unchanged';
       case 'document':
-        return this.#takeDocument(event.document);
+        return this.#applyDocument(event.document);
       case 'instance':
         return this.#change(event.index, ({ instances }) => {
           instances.set(event.instance.id, event.instance);
@@ -117,25 +118,25 @@
       case 'synchronized':
         return this.#synchronize(event.index, event.version);
       case 'sign':
-        return this.#takeSign(event);
+        return this.#applyStatus(event);
       default:
         return assertNever(event);
     }
   }
 
-  #takeDocument(document: RoutingDocument): WatchVerdict {
-    const present = this.#view.table?.document.version ?? -1;
-    if (document.version < present) {
+  #applyDocument(document: RoutingDocument): WatchVerdict {
+    const current = this.#view.table?.document.version ?? -1;
+    if (document.version < current) {
       return 'leave';
     }
-    if (document.version === present) {
+    if (document.version === current) {
       return 'unchanged';
     }
     this.#view = { ...this.#view, table: new RouteTable(document) };
     return 'changed';
   }
 
-  #change(index: number, change: (collected: Collected) => void): WatchVerdict {
+  #change(index: number, change: (collected: RoutingCollections) => void): WatchVerdict {
     if (this.#incoming !== undefined) {
       change(this.#incoming);
       return 'unchanged';
@@ -163,12 +164,12 @@
     return 'changed';
   }
 
-  /** A sign vouches only for a state that is whole: the one that comes first may be older than what is held. */
-  #takeSign(sign: Extract<RoutingEvent, { readonly type: 'sign' }>): WatchVerdict {
-    const { isFresh, leader, voters, now } = sign;
-    const isVouched = isFresh && this.#incoming === undefined;
+  /** A status message confirms only a complete state; before that, the incoming state may be older than the current one. */
+  #applyStatus(status: Extract<RoutingEvent, { readonly type: 'sign' }>): WatchVerdict {
+    const { isFresh, leader, voters, now } = status;
+    const isConfirmed = isFresh && this.#incoming === undefined;
     const isNewLeader = leader !== this.#view.leader;
-    const vouchedAt = isVouched ? now : this.#view.vouchedAt;
+    const vouchedAt = isConfirmed ? now : this.#view.vouchedAt;
     this.#view = { ...this.#view, leader, voters, vouchedAt };
     if (!isFresh && this.#incoming === undefined) {
       return 'leave';
--- a/src/watch/routing-watcher.ts
+++ b/src/watch/routing-watcher.ts
@@ -11,21 +11,25 @@
 import { StreamSilence, type RpcClientPool } from '../wire/index.js';
 import { decodeRoutingEvents } from './decode-routing-event.js';
 import { ReconnectPacing } from './reconnect-pacing.js';
-import { RoutingKeeper, type RoutingEvent, type RoutingView } from './routing-keeper.js';
+import {
+  RoutingStateTracker,
+  type RoutingEvent,
+  type RoutingView,
+} from './routing-state-tracker.js';
 
-/** The routing watch of gateways and sidecars: one stream from one control host, another when it fails. */
+/** Routing watch client of gateways and sidecars: streams from one control host and switches to another when that fails. */
 
-/** Control sends a sign twice a second; this much silence means that the connection is lost. */
-const silenceLimit: Milliseconds = 1600;
-/** Longest wait before the next control host is tried: a change has to be in force within about two seconds. */
-const longestReconnectDelay: Milliseconds = 500;
+/** Control hosts send a status message twice a second; a stream without messages for this long counts as lost. */
+const streamIdleLimit: Milliseconds = 1600;
+/** Upper bound of the delay before the next control host is tried: a change has to take effect within about two seconds. */
+const maximumReconnectDelay: Milliseconds = 500;
 
 /** Options of a routing watcher. */
 export interface RoutingWatcherOptions {
   /** Name shown in the logs of control hosts. */
   readonly watcher: string;
   readonly kind: 'gateway' | 'sidecar';
-  /** Addresses of the control hosts known from the settings; control names others later. */
+  /** Addresses of the control hosts from the settings; status messages add others later. */
   readonly control: readonly string[];
   readonly clients: RpcClientPool;
   readonly clock: Clock;
@@ -33,40 +37,40 @@
   readonly random: RandomSource;
 }
 
-/** Keeps a watch open for as long as the process runs. */
+/** Keeps a routing watch open while the process runs. */
 export class RoutingWatcher implements ManagedPart {
   readonly name = 'routing watcher';
   readonly #options: RoutingWatcherOptions;
-  readonly #keeper = new RoutingKeeper();
+  readonly #tracker = new RoutingStateTracker();
   readonly #listeners = new Set<(view: RoutingView) => void>();
-  readonly #pacing: ReconnectPacing;
+  readonly #backoff: ReconnectPacing;
   readonly #closing = new AbortController();
-  #control: readonly string[];
-  #turn: number;
+  #controlAddresses: readonly string[];
+  #addressIndex: number;
   #stream: AbortController | undefined;
-  readonly #silence: StreamSilence;
+  readonly #idleTimeout: StreamSilence;
   #running: Promise<void> | undefined;
 
   constructor(options: RoutingWatcherOptions) {
     this.#options = options;
-    this.#control = options.control;
-    this.#turn = options.random.integerBelow(options.control.length);
-    this.#pacing = new ReconnectPacing(options.random, longestReconnectDelay);
-    this.#silence = new StreamSilence(options.clients, silenceLimit);
+    this.#controlAddresses = options.control;
+    this.#addressIndex = options.random.integerBelow(options.control.length);
+    this.#backoff = new ReconnectPacing(options.random, maximumReconnectDelay);
+    this.#idleTimeout = new StreamSilence(options.clients, streamIdleLimit);
   }
 
-  /** Bound, because parts take it as a function of its own. */
-  readonly read = (): RoutingView => this.#keeper.read();
+  /** An arrow function, because callers pass it around without its object. */
+  readonly read = (): RoutingView => this.#tracker.read();
 
-  /** Calls back after each change; the answer ends the subscription. */
+  /** Calls the listener after each change; returns a function that ends the subscription. */
   readonly subscribe = (listener: (view: RoutingView) => void): (() => void) => {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   };
 
-  /** Takes other addresses of control hosts from now on; a watch that works is kept. */
+  /** Replaces the configured addresses of control hosts; a working watch is kept open. */
   setControl(control: readonly string[]): void {
-    this.#control = control;
+    this.#controlAddresses = control;
   }
 
   open(): void {
@@ -90,12 +94,12 @@
         logger.info({ address }, 'routing watch ended');
       } catch (error) {
         if (!this.#isClosing()) {
-          logger.warn({ address, error: String(error) }, 'routing watch lost');
+          logger.warn({ address, error: String(error) }, 'routing watch failed');
         }
       }
-      this.#silence.end();
+      this.#idleTimeout.end();
       if (!this.#isClosing()) {
-        await pause(this.#pacing.next(), this.#closing.signal);
+        await pause(this.#backoff.next(), this.#closing.signal);
       }
     }
   }
@@ -104,47 +108,47 @@
     return this.#closing.signal.aborted;
   }
 
-  /** Those of the settings and those that control named, by turns. */
+  /** Rotates through the configured addresses and those of the last status message. */
   #nextAddress(): string {
-    const known = [...new Set([...this.#control, ...this.#keeper.read().voters])];
-    const address = known[this.#turn % known.length];
-    this.#turn += 1;
+    const known = [...new Set([...this.#controlAddresses, ...this.#tracker.read().voters])];
+    const address = known[this.#addressIndex % known.length];
+    this.#addressIndex += 1;
     if (address === undefined) {
-      throw new Error('the settings name no control host');
+      throw new Error('no control host is configured');
     }
     return address;
   }
 
   async #watch(address: string, stream: AbortController): Promise<void> {
     const { clients, watcher, kind, logger } = this.#options;
-    this.#silence.expect(address, stream);
-    const version = BigInt(this.#keeper.read().table?.document.version ?? 0);
+    this.#idleTimeout.expect(address, stream);
+    const version = BigInt(this.#tracker.read().table?.document.version ?? 0);
     const responses = clients
       .client(RoutingService, address)
       .watch({ watcher, kind, version }, { signal: stream.signal });
-    this.#keeper.handle({ type: 'connected' });
+    this.#tracker.handle({ type: 'connected' });
     for await (const response of responses) {
-      this.#silence.expect(address, stream);
+      this.#idleTimeout.expect(address, stream);
       const events = decodeRoutingEvents(response, this.#options.clock.monotonic());
-      if (!this.#take(events, address)) {
-        logger.warn({ address }, 'control host is behind; taking another');
+      if (!this.#applyEvents(events, address)) {
+        logger.warn({ address }, 'control host is behind; switching to another');
         stream.abort();
         return;
       }
     }
   }
 
-  /** Takes what one message says; false where this control host is to be left. */
-  #take(events: readonly RoutingEvent[], address: string): boolean {
+  /** Applies the events of one message; returns false when the watcher must switch to another control host. */
+  #applyEvents(events: readonly RoutingEvent[], address: string): boolean {
     let isChanged = false;
     for (const event of events) {
-      const verdict = this.#keeper.handle(event);
+      const verdict = this.#tracker.handle(event);
       if (verdict === 'leave') {
         return false;
       }
       if (verdict === 'changed') {
         isChanged = true;
-        this.#note(event, address);
+        this.#logChange(event, address);
       }
     }
     if (isChanged) {
@@ -153,15 +157,18 @@
     return true;
   }
 
-  #note(event: RoutingEvent, address: string): void {
+  #logChange(event: RoutingEvent, address: string): void {
     const { logger } = this.#options;
     switch (event.type) {
       case 'synchronized':
-        this.#pacing.reset();
-        logger.info({ address, version: event.version, index: event.index }, 'routing in force');
+        this.#backoff.reset();
+        logger.info(
+          { address, version: event.version, index: event.index },
+          'routing state synchronized',
+        );
         return;
       case 'document':
-        logger.info({ address, version: event.document.version }, 'routing document in force');
+        logger.info({ address, version: event.document.version }, 'routing document applied');
         return;
       case 'sign':
         logger.info({ address, leader: event.leader }, 'leader of control changed');
@@ -182,7 +189,7 @@
   }
 
   #notify(): void {
-    const view = this.#keeper.read();
+    const view = this.#tracker.read();
     for (const listener of this.#listeners) {
       listener(view);
     }
--- a/src/watch/watched-state-keeper.ts
+++ b/src/watch/watched-state-keeper.ts
@@ -8,9 +8,9 @@
   WatchedState,
 } from '../model/index.js';
 
-/** Decides what a watcher believes from what control hosts tell it; free of I/O. */
+/** Builds the watched state from the events that control hosts send; free of I/O. */
 
-/** What a control host tells a watcher. */
+/** Event that a control host sends to a watcher. */
 export type WatchEvent =
   | { readonly type: 'connected' }
   | {
@@ -23,13 +23,13 @@
   | { readonly type: 'synchronized'; readonly index: number }
   | { readonly type: 'heartbeat'; readonly index: number; readonly isFresh: boolean };
 
-/** Whether to go on with this control host. */
+/** Effect of an event on the state; `leave` means that the watcher must switch to another control host. */
 export type WatchVerdict = 'unchanged' | 'changed' | 'leave';
 
 /**
- * Keeps the highest revision and never goes back.
- * A control host that lags, or that a partition cut off, offers an older state; taking it would revert an accepted
- * change. Such a host is left as soon as its state shows to be older than what is held.
+ * Tracks the highest revision and never reverts to an older one.
+ * A control host that lags or is partitioned sends an older state; applying it would revert an accepted change.
+ * The watcher leaves such a host as soon as its state turns out to be older than the current one.
  */
 export class WatchedStateKeeper {
   #state: WatchedState = {
@@ -39,7 +39,7 @@
     isSynchronized: false,
   };
   #index = 0;
-  /** Groups collected since the connection was opened, until the state is whole. */
+  /** Groups received on the current connection; undefined once the state is complete. */
   #incoming: Map<GroupName, WatchedGroup> | undefined;
 
   read(): WatchedState {
@@ -52,9 +52,9 @@
         this.#incoming = new Map();
         return 'unchanged';
       case 'configuration':
-        return this.#takeConfiguration(event.revision, event.configuration);
+        return this.#applyConfiguration(event.revision, event.configuration);
       case 'group':
-        return this.#takeGroup(event.index, event.group);
+        return this.#applyGroup(event.index, event.group);
       case 'groupRemoved':
         return this.#removeGroup(event.index, event.name);
       case 'synchronized':
@@ -66,7 +66,7 @@
     }
   }
 
-  #takeConfiguration(revision: Revision, configuration: Configuration): WatchVerdict {
+  #applyConfiguration(revision: Revision, configuration: Configuration): WatchVerdict {
     if (revision < this.#state.revision) {
       return 'leave';
     }
@@ -77,15 +77,15 @@
     return 'changed';
   }
 
-  #takeGroup(index: number, group: WatchedGroup): WatchVerdict {
+  #applyGroup(index: number, group: WatchedGroup): WatchVerdict {
     const { name } = group.group;
     if (this.#incoming !== undefined) {
       this.#incoming.set(name, group);
       return 'unchanged';
     }
     this.#index = Math.max(this.#index, index);
-    const present = this.#state.groups.get(name);
-    if (present !== undefined && present.group.fencingNumber > group.group.fencingNumber) {
+    const current = this.#state.groups.get(name);
+    if (current !== undefined && current.group.fencingNumber > group.group.fencingNumber) {
       return 'unchanged';
     }
     const groups = new Map(this.#state.groups).set(name, group);
--- a/src/wire/codecs.ts
+++ b/src/wire/codecs.ts
@@ -29,7 +29,7 @@
   WatchedGroup,
 } from '../model/index.js';
 
-/** Between the types of the model and the messages of the wire. */
+/** Conversion of model types to and from protobuf messages. */
 
 export function encodeGroup(watched: WatchedGroup): GroupMessage {
   const { group } = watched;
@@ -85,7 +85,7 @@
   });
 }
 
-/** Name, incarnation and draining travel in the report around the facts. */
+/** The name, incarnation and draining flag of the host are not part of the message; the enclosing report carries them. */
 export function decodeHostFacts(
   message: HostFactsMessage,
   host: HostName,
--- a/src/wire/compression.ts
+++ b/src/wire/compression.ts
@@ -1,5 +1,5 @@
 /**
- * Messages from this many bytes on are compressed.
- * Whole configurations gain by it; a frame of tokens costs more processor time to compress than to send.
+ * Smallest message in bytes that is compressed.
+ * Compression pays off for whole configurations; compressing a frame of tokens costs more CPU time than sending it.
  */
 export const smallestCompressed = 16 * 1024;
--- a/src/wire/message-queue.ts
+++ b/src/wire/message-queue.ts
@@ -1,21 +1,21 @@
-/** A bounded first-in first-out queue that a stream of messages reads from. */
+/** A bounded FIFO queue that feeds a stream of messages. */
 
 const defaultCapacity = 10_000;
 
-interface Waiting<Message> {
+interface QueuedMessage<Message> {
   readonly message: Message;
-  /** What it is the latest word on; undefined where every message counts. */
+  /** Later messages on the same topic replace this one; undefined if it must not be replaced. */
   readonly topic: string | undefined;
 }
 
 /**
- * Feeds a Connect stream from code that pushes.
- * A reader that stopped reading would let the queue grow until the process runs out of memory;
- * past the capacity the queue closes itself, which ends the stream, and the peer connects again.
+ * Connects code that pushes messages to a Connect stream that pulls them.
+ * Without a bound, a peer that stopped reading would let the queue grow until the process runs out of memory.
+ * When the capacity is exceeded, the queue closes, which ends the stream, and the peer reconnects.
  */
 export class MessageQueue<Message> implements AsyncIterable<Message> {
   readonly #capacity: number;
-  #waiting: Waiting<Message>[] = [];
+  #queue: QueuedMessage<Message>[] = [];
   #wake: (() => void) | undefined;
   #isClosed = false;
 
@@ -23,35 +23,35 @@
     this.#capacity = capacity;
   }
 
-  /** Adds a message; ignored once closed. */
+  /** Adds a message; does nothing once the queue is closed. */
   push(message: Message): void {
     this.#add({ message, topic: undefined });
   }
 
   /**
-   * Adds a message that makes an earlier one on the topic needless, if that still waits. A reader that is slow, or behind a slow link,
-   * would otherwise get the newest word only after all that it has replaced.
+   * Adds a message and drops a queued earlier one on the same topic. Otherwise a slow reader, or one behind a slow link, would get the
+   * newest message only after all the messages that it supersedes.
    */
   pushLatest(topic: string, message: Message): void {
     if (!this.#isClosed) {
-      this.#waiting = this.#waiting.filter((waiting) => waiting.topic !== topic);
+      this.#queue = this.#queue.filter((queued) => queued.topic !== topic);
     }
     this.#add({ message, topic });
   }
 
-  #add(waiting: Waiting<Message>): void {
+  #add(queued: QueuedMessage<Message>): void {
     if (this.#isClosed) {
       return;
     }
-    if (this.#waiting.length >= this.#capacity) {
+    if (this.#queue.length >= this.#capacity) {
       this.close();
       return;
     }
-    this.#waiting.push(waiting);
+    this.#queue.push(queued);
     this.#wake?.();
   }
 
-  /** Ends the stream after what is already queued. */
+  /** Ends the stream once the queued messages are read. */
   close(): void {
     this.#isClosed = true;
     this.#wake?.();
@@ -63,7 +63,7 @@
 
   async *[Symbol.asyncIterator](): AsyncIterator<Message> {
     for (;;) {
-      const next = this.#waiting.shift();
+      const next = this.#queue.shift();
       if (next !== undefined) {
         yield next.message;
         continue;
--- a/src/wire/rpc-client.ts
+++ b/src/wire/rpc-client.ts
@@ -14,37 +14,37 @@
 import { splitAddress, type Milliseconds } from '../common/index.js';
 import { smallestCompressed } from './compression.js';
 
-/** Connections to other processes of the system, one HTTP/2 session for each address. */
+/** Connections to other processes of the system: one HTTP/2 session per address. */
 
-/** Pings on a connection with open streams find a peer that is gone; silence of a live peer is judged by the caller. */
+/** Pings on a connection with open streams detect a dead peer; callers handle a live peer that sends nothing on a stream. */
 const pingInterval: Milliseconds = 2000;
 const pingTimeout: Milliseconds = 1500;
 const idleTimeout: Milliseconds = 60_000;
 
 interface Connection {
   readonly transport: ReturnType<typeof createConnectTransport>;
-  /** The open sockets: one, and for a moment the next one. */
+  /** The open sockets: usually one, two for a moment while one replaces another. */
   readonly sockets: ReadonlySet<Socket>;
   /** Aborted once the connection is retired. */
   readonly retirement: AbortController;
 }
 
-/** Hands out clients and retires connections that went silent. */
+/** Provides clients and retires connections that went silent. */
 export class RpcClientPool {
   readonly #connections = new Map<string, Connection>();
 
-  /** A client of a service at an address; connects at the first call. */
+  /** Returns a client of a service at an address; it connects on the first call. */
   client<Service extends DescService>(service: Service, address: string): Client<Service> {
     return createClient(service, this.#connect(address).transport);
   }
 
   /**
    * Drops the connection to an address, so that the next call opens a new one.
-   * Something between two hosts can lose track of an open connection: bytes then go nowhere, with no error,
-   * while new connections work. Calls still open on the old one end with an error.
+   * A middlebox between two hosts can lose track of an open connection: its bytes are then dropped without an error,
+   * while new connections work. Calls still open on the old connection fail.
    *
-   * The socket is destroyed rather than the session manager aborted: aborting takes the manager's listener away, and the error of a
-   * session that a failed ping has just ended would then come to nobody and end the process.
+   * Destroys the socket instead of aborting the session manager. Aborting removes the manager's error listener; the error of a
+   * session that a failed ping has just ended would then be unhandled and end the process.
    */
   retire(address: string): void {
     const connection = this.#connections.get(address);
@@ -55,7 +55,7 @@
     connection?.retirement.abort();
   }
 
-  /** Drops all connections. */
+  /** Retires all connections. */
   close(): void {
     for (const address of [...this.#connections.keys()]) {
       this.retire(address);
@@ -63,14 +63,14 @@
   }
 
   #connect(address: string): Connection {
-    const known = this.#connections.get(address);
-    if (known !== undefined) {
-      return known;
+    const existing = this.#connections.get(address);
+    if (existing !== undefined) {
+      return existing;
     }
     const baseUrl = `http://${address}`;
     const sockets = new Set<Socket>();
     const retirement = new AbortController();
-    // Each call under way listens, so many listeners are no leak.
+    // Every pending call adds a listener, so a large number is not a leak.
     setMaxListeners(0, retirement.signal);
     const sessionManager = new Http2SessionManager(
       baseUrl,
@@ -103,24 +103,24 @@
 }
 
 /**
- * Ends the wait of calls that have not begun when their connection is retired.
- * The session manager first pings a connection that was idle; when its socket is destroyed meanwhile, that ping is never
- * answered and never fails. One would notice a watch that never comes back and a process that does not end on SIGTERM.
+ * Rejects calls that have not started when their connection is retired.
+ * The session manager pings a connection that was idle before it uses it again. If the socket is destroyed meanwhile, that ping
+ * neither succeeds nor fails: a watch would never return, and the process would not exit on SIGTERM.
  */
 function failWhenRetired(retired: AbortSignal): Interceptor {
   return (next) => async (request) => {
-    let stop: (() => void) | undefined;
-    const isRetired = new Promise<never>((_, reject) => {
-      stop = () => {
+    let rejectCall: (() => void) | undefined;
+    const retirement = new Promise<never>((_, reject) => {
+      rejectCall = () => {
         reject(new ConnectError('the connection was retired', Code.Unavailable));
       };
-      retired.addEventListener('abort', stop);
+      retired.addEventListener('abort', rejectCall);
     });
     try {
-      return await Promise.race([next(request), isRetired]);
+      return await Promise.race([next(request), retirement]);
     } finally {
-      if (stop !== undefined) {
-        retired.removeEventListener('abort', stop);
+      if (rejectCall !== undefined) {
+        retired.removeEventListener('abort', rejectCall);
       }
     }
   };
--- a/src/wire/rpc-server.ts
+++ b/src/wire/rpc-server.ts
@@ -7,18 +7,18 @@
 import { openServer, type ManagedPart } from '../common/index.js';
 import { smallestCompressed } from './compression.js';
 
-/** The server of the protocols between the system's own processes: Connect over HTTP/2 without TLS. */
+/** RPC server for calls between processes of the system: Connect over HTTP/2 without TLS. */
 
-/** How long open streams get to end by themselves when the server closes, in milliseconds. */
-const closeGrace = 500;
+/** Milliseconds that open streams get to end by themselves when the server closes. */
+const closeGracePeriod = 500;
 
-/** Options of a server. */
+/** Options of an RPC server. */
 export interface RpcServerOptions {
   readonly address: string;
   readonly routes: (router: ConnectRouter) => void;
 }
 
-/** A server as a managed part; closing it ends every session, so that no peer waits for it. */
+/** Creates a server as a managed part. Closing it ends every session, so that no peer can delay the shutdown. */
 export function createRpcServer(options: RpcServerOptions): ManagedPart {
   const sessions = new Set<ServerHttp2Session>();
   const server = createServer(
@@ -60,12 +60,12 @@
     for (const session of sessions) {
       session.destroy();
     }
-    // A session that was closed and is then destroyed only half-closes its socket. The other end of a connection that
-    // went silent never answers that; one would notice a process that does not end on SIGTERM.
+    // Destroying a session that was closed before only half-closes its socket. The peer of a silent connection never
+    // completes that, and the process would not exit on SIGTERM.
     for (const socket of sockets) {
       socket.destroy();
     }
-  }, closeGrace);
+  }, closeGracePeriod);
   await closed;
   clearTimeout(timer);
 }
--- a/src/wire/stream-silence.ts
+++ b/src/wire/stream-silence.ts
@@ -2,9 +2,9 @@
 import type { RpcClientPool } from './rpc-client.js';
 
 /**
- * Gives up a stream on which nothing comes any more.
- * An open connection can go silent for good: without this limit a watch would wait for ever and miss changes, and reports would go
- * nowhere, without an error. The connection goes with the stream, because all others on it are silent too.
+ * Aborts a stream that receives no messages for too long.
+ * An open connection can go silent for good. Without this limit a watch would wait forever and miss changes, and reports would be
+ * lost without an error. The connection is retired as well, because its other streams are silent too.
  */
 export class StreamSilence {
   readonly #clients: RpcClientPool;
@@ -16,7 +16,7 @@
     this.#limit = limit;
   }
 
-  /** The next message has to come within the limit from now; called for the first one and after each. */
+  /** Restarts the timer for the next message; called when the stream opens and after each message. */
   expect(address: string, stream: AbortController): void {
     clearTimeout(this.#timer);
     this.#timer = setTimeout(() => {
@@ -25,7 +25,7 @@
     }, this.#limit);
   }
 
-  /** The stream is over. */
+  /** Stops the timer; called when the stream has ended. */
   end(): void {
     clearTimeout(this.#timer);
   }
