--- a/__tests__/consensus/consensus-node.test.ts
+++ b/__tests__/consensus/consensus-node.test.ts
@@ -20,9 +20,14 @@
 import { reservePort, SwallowingRelay, waitFor } from '../support/index.js';
 
 const names = ['a', 'b', 'c'];
-const tuning = { ...defaultTuning, heartbeat: 50, electionMinimum: 300, electionMaximum: 600 };
+const tuning = {
+  ...defaultTuning,
+  heartbeat: 50,
+  electionTimeoutMinimum: 300,
+  electionTimeoutMaximum: 600,
+};
 
-/** Remembers its commands; the answer to one is how many there were before it. */
+/** Stores its commands; the answer to each is the number of commands before it. */
 class ListMachine implements StateMachine<number> {
   #commands: readonly string[] = [];
 
@@ -51,10 +56,10 @@
   readonly failures: Failure[];
 }
 
-/** Delivers messages between the nodes of one process; a host that is cut off sends and hears nothing. */
+/** Delivers messages between the nodes of one process, except to and from partitioned hosts. */
 class MemoryNetwork {
   readonly #nodes = new Map<string, ConsensusNode<number>>();
-  readonly cut = new Set<string>();
+  readonly partitioned = new Set<string>();
 
   add(name: string, node: ConsensusNode<number>): void {
     this.#nodes.set(name, node);
@@ -73,7 +78,7 @@
   }
 
   #deliver(from: string, to: string, message: ConsensusMessage): void {
-    if (!this.cut.has(from) && !this.cut.has(to)) {
+    if (!this.partitioned.has(from) && !this.partitioned.has(to)) {
       this.#nodes.get(to)?.receive(from, message);
     }
   }
@@ -156,7 +161,7 @@
   return follower;
 }
 
-/** Proposes until it is accepted, as a submitter with one change id does. */
+/** Proposes until the command is accepted, as a submitter that retries with one change id does. */
 function proposeSomewhere(members: readonly Member[], command: string): Promise<number> {
   return waitFor(`${command} to be accepted`, async () => {
     const leader = await findLeader(members);
@@ -179,7 +184,7 @@
     expect(leader.node.status?.membership.voters).toHaveLength(3);
   });
 
-  it('goes on where it was after a restart of all hosts', async () => {
+  it('keeps its log over a restart of all hosts', async () => {
     const disks = names.map(() => new MemoryFileSystem());
     const first = await openInMemory(disks);
     for (let count = 0; count < 12; count += 1) {
@@ -197,29 +202,29 @@
     }
   });
 
-  // Symptom: a submitter waits for ever. Sequence: the leader is cut off while a change waits for its quorum.
-  // Cause: nobody can tell whether a later leader commits it, and the old one never learns.
-  it('says that a change is uncertain when it loses its quorum', async () => {
+  // Guards against a submitter that waits forever: the leader is partitioned while a change waits for its quorum. Nobody can
+  // tell whether a later leader commits the change, and the old leader never learns of it.
+  it('answers a change as uncertain when it loses its quorum', async () => {
     const { network, members } = await openInMemory([]);
-    // Until its first entries are elsewhere, the first leader has the only copy of the log; then the others cannot go on without it.
+    // Until its first entries are replicated, the first leader has the only copy of the log, and the others cannot continue without it.
     await proposeSomewhere(members, 'before the cut');
     const leader = await findLeader(members);
-    network.cut.add(leader.name);
+    network.partitioned.add(leader.name);
     const result = await leader.node.propose('lost');
     expect(result.val).toMatchObject({ code: 'changeUncertain' });
     const others = members.filter((member) => member !== leader);
     await proposeSomewhere(others, 'kept');
-    network.cut.clear();
+    network.partitioned.clear();
     await waitFor('the old leader', () => leader.machine.commands.includes('kept'));
     expect(leader.machine.commands).toEqual(['before the cut', 'kept']);
   });
 
-  // Symptom: an accepted change is gone after a restart. Sequence: a sync fails on the leader, later ones succeed.
-  // Cause: after a failed sync the kernel may drop what it could not write; so the host ends instead.
-  it('ends when its disk fails', async () => {
+  // Guards against an accepted change that is lost after a restart: a sync fails on the leader, and later ones succeed. After
+  // a failed sync the kernel may drop the data that it could not write, so the host stops instead.
+  it('stops when its disk fails', async () => {
     const disks = names.map(() => new MemoryFileSystem());
     const { members } = await openInMemory(disks);
-    // Until its first entries are elsewhere, the first leader has the only copy of the log; then nobody can go on without it.
+    // Until its first entries are replicated, the first leader has the only copy of the log, and nobody can continue without it.
     await proposeSomewhere(members, 'before the disk breaks');
     const leader = await findLeader(members);
     const disk = disks[names.indexOf(leader.name)];
@@ -234,7 +239,7 @@
     await proposeSomewhere(others, 'on the others');
   });
 
-  it('hands the leadership over before a planned stop', async () => {
+  it('transfers the leadership before a planned stop', async () => {
     const { members } = await openInMemory([]);
     const leader = await findLeader(members);
     await proposeSomewhere(members, 'one');
@@ -247,9 +252,9 @@
 });
 
 describe('the streams between control hosts', () => {
-  // Symptom: no change is accepted although every host is up. Sequence: something between the hosts loses track of the
-  // open connections, so that bytes go nowhere without an error. Cause: only a new connection works again.
-  it('replace connections that went silent for good', async () => {
+  // Guards against a cluster that accepts no change although every host is up: a device between the hosts loses the state of
+  // the open connections, so that bytes are lost without an error. Only a new connection works again.
+  it('replace connections that stay silent', async () => {
     const addresses = await Promise.all(names.map(async () => `127.0.0.1:${await reservePort()}`));
     const relays = await Promise.all(addresses.map((address) => SwallowingRelay.open(address)));
     const manager = createManager();
@@ -260,7 +265,7 @@
       const transport = new StreamTransport({
         self: name,
         peers,
-        silenceLimit: 300,
+        connectionTimeout: 300,
         clock: systemClock,
         random: createRandomSource(1),
       });
--- a/__tests__/consensus/found-failures.test.ts
+++ b/__tests__/consensus/found-failures.test.ts
@@ -2,11 +2,11 @@
 
 import { runSchedule, type Step } from './simulation/schedule.js';
 
-/** Schedules that once broke a promise, as fast-check shrank them. */
+/** Schedules that once violated an invariant, as shrunk by fast-check. */
 describe('failures found', () => {
-  // Symptom: two logs with different first entries, of the same voters. Sequence: c is wiped and promises to take part in
-  // a first start; the existing log takes it in; then a and b are wiped and promise as well. Cause: the coordinator
-  // counted promises of hosts that were blank one after the other, while the log lived on elsewhere.
+  // Guards against two logs with different first entries and the same voters. Host c is wiped and promises to join a cluster
+  // formation, and the existing log admits it; then a and b are wiped and promise as well. The coordinator counted promises
+  // of hosts that were blank one after the other, while the log continued on the remaining hosts.
   it('forms no second log from hosts that were wiped one after the other', () => {
     const steps: readonly Step[] = [
       { type: 'run', milliseconds: 2500 },
--- a/__tests__/consensus/golden-sessions.test.ts
+++ b/__tests__/consensus/golden-sessions.test.ts
@@ -4,7 +4,7 @@
 import type { SimulatedHost } from './simulation/simulated-host.js';
 import { Transcript } from './simulation/transcript.js';
 
-/** A cluster with a transcript, and the few things that sessions do. */
+/** A simulated cluster with a transcript, and the operations that the sessions use. */
 class Session {
   readonly #transcript = new Transcript();
   readonly cluster = new SimulatedCluster(
@@ -63,27 +63,27 @@
     await expectGolden(session, 'first-start');
   });
 
-  // Symptom: a change that the old leader took in is never answered. Sequence: the leader is cut off, takes a change, the
-  // others elect a leader. Cause: without a quorum nothing commits; told "uncertain", its entry is then overwritten.
+  // Guards against a change that is never answered. A partitioned leader accepts a change while the others elect a new
+  // leader. Without a quorum the change cannot commit; it is answered as uncertain, and its entry is then overwritten.
   it('leader cut off and back', async () => {
     const session = new Session();
     session.run('first start', 2500);
     const { leader } = session;
     session.note(`${leader.name} is cut off and takes a change`);
-    leader.isCut = true;
+    leader.isPartitioned = true;
     session.cluster.propose(leader);
     session.cluster.run(4000);
     session.note('the new leader takes a change');
     session.change();
     session.run(`${leader.name} is back`, 500);
-    leader.isCut = false;
+    leader.isPartitioned = false;
     session.cluster.run(2000);
     await expectGolden(session, 'leader-cut-off');
     expect(leader.machine.values).toEqual([2]);
   });
 
-  // Symptom: two leaders in a term, or an answered change that is gone. Sequence: a host comes back with an empty disk and
-  // votes again. Cause: its votes and its log were lost with the disk.
+  // Guards against two leaders in one term and the loss of an answered change, when a host returns with an empty disk and
+  // votes again: its earlier votes and its log were lost with the disk.
   it('wiped disk comes back', async () => {
     const session = new Session();
     session.run('first start', 2500);
@@ -112,8 +112,8 @@
     expect(target.machine.values).toEqual([1, 2, 3, 4, 5, 6, 7, 8]);
   });
 
-  // Symptom: a read gives old state as fresh. Sequence: the leader's process is frozen, another leader takes a change, the
-  // old one goes on and is asked. Cause: no time has passed for a frozen process, so it still takes itself for the leader.
+  // Guards against a read that returns stale state as fresh. The leader's process is suspended, another leader accepts a
+  // change, and the old leader resumes and is asked to read. No time has passed for it, so it still considers itself leader.
   it('frozen leader goes on', async () => {
     const session = new Session();
     session.run('first start', 2500);
--- a/__tests__/consensus/lost-disks.test.ts
+++ b/__tests__/consensus/lost-disks.test.ts
@@ -5,8 +5,8 @@
 
 const value = 1;
 
-/** All control hosts lose power, two of them with their disks; whether the others go on with what was accepted. */
-function survives(size: number): boolean {
+/** Crashes all control hosts and wipes the disks of two; returns whether the others keep the accepted change. */
+function survivesTwoLostDisks(size: number): boolean {
   const cluster = new SimulatedCluster({ size, seed: 7, mutation: 'none' });
   cluster.run(6000);
   const { leader } = cluster;
@@ -27,10 +27,10 @@
 }
 
 /**
- * All control hosts lose power at the very moment at which a change is answered, and the two at the positions lose their disks with it;
- * whether the others go on with the change.
+ * Crashes all control hosts at the moment at which a change is answered, and wipes the disks of the two at the given
+ * positions; returns whether the others keep the change.
  */
-function survivesAtTheAnswer(seed: number, lost: readonly [number, number]): boolean {
+function survivesPowerLossAtAnswer(seed: number, lost: readonly [number, number]): boolean {
   const cluster = new SimulatedCluster({ size: 5, seed, mutation: 'none' });
   cluster.run(6000);
   const { leader } = cluster;
@@ -59,8 +59,8 @@
 
 describe('a change that was answered, when two of five disks are lost and all others lose power at that moment', () => {
   /**
-   * What could go wrong: the answer is given before a quorum has synced the change, or the hosts that are left elect one that never had it.
-   * Whichever two disks are lost, the leader's among them, one of the other three has the change.
+   * Guards against an answer that is given before a quorum has synced the change, and against the election of a host that
+   * never had it. Whichever two disks are lost, even the leader's, one of the other three hosts has the change.
    */
   it('is still there, whichever two they are', () => {
     const positions = [0, 1, 2, 3, 4];
@@ -68,7 +68,7 @@
       positions.slice(first + 1).map((second): [number, number] => [first, second]),
     );
     for (const seed of [1, 2, 3, 4, 5]) {
-      const kept = pairs.filter((pair) => survivesAtTheAnswer(seed, pair));
+      const kept = pairs.filter((pair) => survivesPowerLossAtAnswer(seed, pair));
       expect({ seed, kept }).toEqual({ seed, kept: pairs });
     }
   });
@@ -76,8 +76,9 @@
 
 describe('a log of which two disks are lost at once', () => {
   /**
-   * Symptom: after the last power loss of a day control has no leader for good, and nothing is served. Two of three voters came back with
-   * empty disks; the third one's vote alone is no quorum, and may not be. The deployment said that two disks may be lost at once.
+   * Guards against a control that stays without a leader after a power loss, so that nothing is served. Two of three
+   * voters came back with empty disks, and the third one's vote is rightly no quorum, although the deployment's settings
+   * tolerate the loss of two disks at once.
    */
   it('goes on where the losses are tolerated that settings name', () => {
     const settings = controlSettingsSchema.parse({
@@ -89,7 +90,7 @@
       dataFolder: 'log',
       toleratedLosses: 2,
     });
-    expect(survives(3)).toBe(false);
-    expect(survives(countWantedVoters(settings))).toBe(true);
+    expect(survivesTwoLostDisks(3)).toBe(false);
+    expect(survivesTwoLostDisks(countWantedVoters(settings))).toBe(true);
   });
 });
--- a/__tests__/consensus/random-schedules.test.ts
+++ b/__tests__/consensus/random-schedules.test.ts
@@ -4,12 +4,12 @@
 import type { Mutation } from './simulation/simulated-cluster.js';
 import { createScheduleArbitrary, runSchedule } from './simulation/schedule.js';
 
-/** Schedules in a run; a longer search sets the variable. */
+/** Number of schedules per run; set the variable for a longer search. */
 const runs = Number(process.env.PISTACHIOSPOKE_PROPERTY_RUNS ?? 10_000);
 const seed = Number(process.env.PISTACHIOSPOKE_PROPERTY_SEED ?? 20_261_202);
 
 describe('random schedules', () => {
-  it('break no promise of the log', () => {
+  it('violate no invariant of the log', () => {
     fc.assert(
       fc.property(createScheduleArbitrary('none'), (schedule) => {
         runSchedule(schedule);
@@ -19,7 +19,7 @@
     expect(runs).toBeGreaterThan(0);
   });
 
-  it('reach what they are meant to disturb', () => {
+  it('exercise elections, changes, snapshots and readmissions', () => {
     const schedules = fc.sample(createScheduleArbitrary('none'), { numRuns: 500, seed });
     const clusters = schedules.map(runSchedule);
     const sum = (count: (cluster: (typeof clusters)[number]) => number): number =>
@@ -34,11 +34,11 @@
 });
 
 /**
- * Each fault is put into the harness, around an unchanged core. A check that stays green with one of them in place would
- * prove nothing about the core either.
+ * Each fault is injected into the harness around an unchanged core. A check that passes in spite of the fault would prove
+ * nothing about the core either.
  */
-describe('random schedules with a fault put in', () => {
-  const brokenPromise = /lead term|leads term|leads without|committed|does not see|logs differ/;
+describe('random schedules with an injected fault', () => {
+  const invariantMessages = /lead term|leads term|leads without|committed|does not see|logs differ/;
   const mutations: readonly Mutation[] = [
     'answersBeforeSync',
     'reusesStorageId',
@@ -50,7 +50,7 @@
     });
     const details = fc.check(property, { numRuns: 10_000, seed, endOnFailure: true });
     expect(details.failed).toBe(true);
-    expect(String(details.errorInstance)).toMatch(brokenPromise);
+    expect(String(details.errorInstance)).toMatch(invariantMessages);
   });
 });
 
--- a/__tests__/consensus/register-differential.test.ts
+++ b/__tests__/consensus/register-differential.test.ts
@@ -3,7 +3,7 @@
 
 import { SimulatedCluster } from './simulation/simulated-cluster.js';
 
-/** The naive version: one copy, never lost, never asked by two at once. */
+/** Reference implementation: a single copy that is never lost and never accessed concurrently. */
 class SingleCopyRegister {
   #values: readonly number[] = [];
 
@@ -32,7 +32,7 @@
   },
 );
 
-/** A client that resends a write until it is answered, as an operator would with one change id. */
+/** A client that retries a write until it is answered, as an operator would with one change id. */
 class Client {
   readonly #cluster: SimulatedCluster;
 
@@ -54,7 +54,7 @@
     throw new Error(`write ${value} was not answered`);
   }
 
-  /** Values in order of their first write. */
+  /** Returns the values in order of their first write. */
   read(): readonly number[] {
     for (let tries = 0; tries < 20; tries += 1) {
       const { leader } = this.#cluster;
@@ -69,8 +69,8 @@
   }
 }
 
-/** One host at a time is disturbed, so that the others are a quorum. */
-function disturb(
+/** Injects a fault into one host at a time, so that the others are a quorum. */
+function injectFault(
   cluster: SimulatedCluster,
   type: 'crash' | 'freeze' | 'cut' | 'wipe',
   host: number,
@@ -89,7 +89,7 @@
       target.condition = 'frozen';
       return;
     case 'cut':
-      target.isCut = true;
+      target.isPartitioned = true;
       return;
   }
 }
@@ -100,17 +100,17 @@
     const property = fc.property(sessions, fc.nat(9999), (operations, seed) => {
       const cluster = new SimulatedCluster({ size: 3, seed, mutation: 'none' });
       const client = new Client(cluster);
-      const naive = new SingleCopyRegister();
+      const reference = new SingleCopyRegister();
       let lastValue = 0;
       for (const next of operations) {
         switch (next.type) {
           case 'write':
             lastValue += 1;
             client.write(lastValue);
-            naive.write(lastValue);
+            reference.write(lastValue);
             break;
           case 'read':
-            expect(client.read()).toEqual(naive.values);
+            expect(client.read()).toEqual(reference.values);
             break;
           case 'snapshot':
             cluster.hosts.forEach((host) => {
@@ -121,12 +121,12 @@
           case 'freeze':
           case 'cut':
           case 'wipe':
-            disturb(cluster, next.type, next.host);
+            injectFault(cluster, next.type, next.host);
             break;
         }
       }
       cluster.heal();
-      expect(client.read()).toEqual(naive.values);
+      expect(client.read()).toEqual(reference.values);
     });
     fc.assert(property, { numRuns: 300, seed: 7 });
   });
--- a/__tests__/consensus/restart.test.ts
+++ b/__tests__/consensus/restart.test.ts
@@ -5,7 +5,7 @@
 import { SimulatedCluster } from './simulation/simulated-cluster.js';
 
 const seed = 20_261_202;
-const firstElectionShare = 0.3;
+const firstElectionTimeoutFraction = 0.3;
 
 function restartAll(cluster: SimulatedCluster): void {
   cluster.run(4000);
@@ -17,24 +17,32 @@
   });
 }
 
-describe('control hosts that were all started anew', () => {
+describe('control hosts that were all restarted', () => {
   /**
-   * Symptom: after all processes were killed, callers are refused for half a second longer than control needs to start. Sequence:
-   * all control hosts start within a tenth of a second and wait for a leader that cannot be there. Cause: the wait after a start
-   * was as long as the one after a leader fell silent.
+   * Guards against callers being refused for half a second longer than control needs to start after all processes were
+   * killed. All control hosts start within a tenth of a second and wait for a leader that cannot exist. The first election
+   * timeout was as long as the one after a leader has gone silent.
    */
   it.each([1, 2, 3, 4, 5])('have a leader soon (seed %i)', (clusterSeed) => {
-    const options = { size: 3, seed: clusterSeed, mutation: 'none', firstElectionShare } as const;
+    const options = {
+      size: 3,
+      seed: clusterSeed,
+      mutation: 'none',
+      firstElectionTimeoutFraction,
+    } as const;
     const cluster = new SimulatedCluster(options);
     restartAll(cluster);
     cluster.run(1125);
     expect(cluster.leader).toBeDefined();
   });
 
-  it('break no promise of the log while they hurry', () => {
+  it('violate no invariant of the log with the shorter first election timeout', () => {
     fc.assert(
       fc.property(createScheduleArbitrary('none'), ({ options, steps }) => {
-        runSchedule({ options: { ...options, firstElectionShare }, steps });
+        runSchedule({
+          options: { ...options, firstElectionTimeoutFraction: firstElectionTimeoutFraction },
+          steps,
+        });
       }),
       { numRuns: 2000, seed },
     );
--- a/__tests__/consensus/simulation/history.ts
+++ b/__tests__/consensus/simulation/history.ts
@@ -1,28 +1,28 @@
 import type { CommittedEntry, LogEntry, StoredState } from '../../../src/consensus/core/index.js';
 import type { SimulatedHost } from './simulated-host.js';
 
-/** A promise of the log that was broken. */
+/** An invariant of the log was violated. */
 export class InvariantViolation extends Error {
   override readonly name = 'InvariantViolation';
 }
 
-interface Answered {
+interface AnsweredValue {
   readonly value: number;
   readonly at: number;
 }
 
-interface RequestedRead {
-  /** Values answered before the read was asked for. */
+interface ReadRequest {
+  /** Values answered before the read was requested. */
   readonly answeredBefore: readonly number[];
 }
 
-/** What a naive observer has seen, and what may therefore never be seen. */
+/** Records what an outside observer has seen, and checks the invariants against it. */
 export class History {
   readonly #committed: LogEntry[] = [];
   readonly #leaders = new Map<number, string>();
-  readonly #answered: Answered[] = [];
+  readonly #answered: AnsweredValue[] = [];
   readonly #refused = new Set<number>();
-  readonly #reads = new Map<number, RequestedRead>();
+  readonly #reads = new Map<number, ReadRequest>();
 
   get committedCount(): number {
     return this.#committed.length;
@@ -36,7 +36,7 @@
     return this.#answered.map(({ value }) => value);
   }
 
-  /** One leader a term, and it has every committed entry. */
+  /** Checks that a term has one leader, whose log holds every committed entry. */
   observeLeader(host: SimulatedHost): void {
     const { view } = host.core;
     if (view.type !== 'leader') {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** No committed entry is lost or changed. */
+  /** Checks that no committed entry changes. */
   observeCommitted({ entry }: CommittedEntry): void {
     const known = this.#committed[entry.index - 1];
     if (known === undefined) {
@@ -77,19 +77,19 @@
     this.#reads.set(readId, { answeredBefore: this.answeredValues });
   }
 
-  /** A read sees every value that was answered before it was asked for. */
+  /** Checks that a read sees every value that was answered before the read was requested. */
   observeRead(readId: number, values: readonly number[]): void {
     this.#checkHasValues(`read ${readId}`, values, this.#reads.get(readId)?.answeredBefore ?? []);
   }
 
-  /** A host that calls itself fresh as of a moment has what was answered before it. */
+  /** Checks that a host that reports itself fresh as of a time has every value answered before that time. */
   observeStaleness(host: SimulatedHost, now: number): void {
     const freshAt = now - host.staleness(now);
     const before = this.#answered.filter(({ at }) => at < freshAt).map(({ value }) => value);
     this.#checkHasValues(`${host.name}, fresh at ${freshAt},`, host.machine.values, before);
   }
 
-  /** Answered values stay, in order and once; refused ones never appear. */
+  /** Checks that every answered value is present, that no value is present twice, and that no refused value is present. */
   checkOutcome(values: readonly number[]): void {
     this.#checkHasValues('the last leader', values, this.answeredValues);
     if (new Set(values).size !== values.length) {
@@ -119,7 +119,7 @@
   }
 }
 
-/** Two logs that have the same entry at an index have the same entries before it. */
+/** Checks that two logs with the same entry at an index have the same entries before it. */
 export function checkLogsMatch(left: StoredState, right: StoredState): void {
   const terms = new Map(left.entries.map((entry) => [entry.index, entry]));
   const shared = right.entries.filter((entry) => terms.has(entry.index));
--- a/__tests__/consensus/simulation/register.ts
+++ b/__tests__/consensus/simulation/register.ts
@@ -1,6 +1,6 @@
 import type { CommittedEntry, Snapshot } from '../../../src/consensus/core/index.js';
 
-/** State machine of the simulations: remembers every value written, in order. */
+/** State machine of the simulations: stores every written value in order. */
 export class RegisterMachine {
   #values: readonly number[] = [];
   #appliedIndex = 0;
--- a/__tests__/consensus/simulation/schedule.ts
+++ b/__tests__/consensus/simulation/schedule.ts
@@ -3,7 +3,7 @@
 import { InvariantViolation } from './history.js';
 import { SimulatedCluster, type ClusterOptions, type Mutation } from './simulated-cluster.js';
 
-/** One step of a schedule; `host` and `position` are taken modulo what is there. */
+/** One step of a schedule; `host` and `position` are taken modulo the number of hosts or messages. */
 export type Step =
   | { readonly type: 'run'; readonly milliseconds: number }
   | { readonly type: 'advance'; readonly milliseconds: number }
@@ -84,7 +84,7 @@
   { weight: 1, arbitrary: hostStep('admit') },
 );
 
-/** Schedules that begin with an elected leader, so that all their steps count. */
+/** Generates schedules that start with an elected leader, so that all their steps have an effect. */
 export function createScheduleArbitrary(mutation: Mutation): fc.Arbitrary<Schedule> {
   return fc.record({
     options: fc.record({
@@ -98,18 +98,18 @@
   });
 }
 
-/** Runs a schedule, then ends all faults and checks what is left; throws an InvariantViolation. */
+/** Runs a schedule, ends all faults and checks the outcome; throws an InvariantViolation if a check fails. */
 export function runSchedule({ options, steps }: Schedule): SimulatedCluster {
   const cluster = new SimulatedCluster(options);
   for (const next of steps) {
-    carryOut(cluster, next);
+    executeStep(cluster, next);
   }
   cluster.checkLogs();
   finish(cluster, steps);
   return cluster;
 }
 
-/** Without lost disks or changed members, a cluster without faults must accept a change again. */
+/** Ends all faults. Unless disks were wiped or members changed, the cluster must then accept a change again. */
 function finish(cluster: SimulatedCluster, steps: readonly Step[]): void {
   cluster.heal();
   cluster.run(6000);
@@ -131,7 +131,7 @@
   }
 }
 
-function carryOut(cluster: SimulatedCluster, next: Step): void {
+function executeStep(cluster: SimulatedCluster, next: Step): void {
   switch (next.type) {
     case 'run':
       cluster.run(next.milliseconds);
@@ -163,12 +163,12 @@
     case 'join':
     case 'remove':
     case 'admit':
-      carryOutOnHost(cluster, next.type, next.host);
+      executeHostStep(cluster, next.type, next.host);
       return;
   }
 }
 
-function carryOutOnHost(cluster: SimulatedCluster, type: HostStep, position: number): void {
+function executeHostStep(cluster: SimulatedCluster, type: HostStep, position: number): void {
   const target = cluster.hostAt(position);
   switch (type) {
     case 'propose':
@@ -196,13 +196,13 @@
       target.condition = target.condition === 'frozen' ? 'running' : target.condition;
       return;
     case 'cut':
-      target.isCut = true;
+      target.isPartitioned = true;
       return;
     case 'resign':
       cluster.handle(target, { type: 'resignRequested' });
       return;
     case 'join':
-      target.isCut = false;
+      target.isPartitioned = false;
       return;
     case 'remove':
     case 'admit':
--- a/__tests__/consensus/simulation/simulated-cluster.ts
+++ b/__tests__/consensus/simulation/simulated-cluster.ts
@@ -6,26 +6,26 @@
 import { checkLogsMatch, History } from './history.js';
 import { SimulatedHost, type UntimedEvent } from './simulated-host.js';
 
-/** Faults put in on purpose, to see that the invariants notice them. */
+/** Deliberate faults, to verify that the invariant checks detect them. */
 export type Mutation = 'none' | 'answersBeforeSync' | 'reusesStorageId' | 'answersBeforeCommit';
 
 export interface ClusterOptions {
   readonly size: number;
   readonly seed: number;
   readonly mutation: Mutation;
-  /** Part of the election wait after a start; the whole of it where it is left out. */
-  readonly firstElectionShare?: number;
+  /** Factor on the first election timeout after a start; 1 if left out. */
+  readonly firstElectionTimeoutFraction?: number;
 }
 
-/** Told what happens, for the transcripts of golden sessions. */
-export interface ClusterWatch {
-  readonly arrived: (now: number, envelope: Envelope) => void;
-  readonly carriedOut: (now: number, host: string, effect: ConsensusEffect) => void;
+/** Receives the delivered messages and executed effects, for the transcripts of golden sessions. */
+export interface ClusterObserver {
+  readonly delivered: (now: number, envelope: Envelope) => void;
+  readonly executed: (now: number, host: string, effect: ConsensusEffect) => void;
 }
 
-const noWatch: ClusterWatch = {
-  arrived: () => undefined,
-  carriedOut: () => undefined,
+const noObserver: ClusterObserver = {
+  delivered: () => undefined,
+  executed: () => undefined,
 };
 
 export interface Envelope {
@@ -34,7 +34,7 @@
   readonly message: ConsensusMessage;
 }
 
-/** Small limits, so that short schedules meet windows, batches, chunks and compaction. */
+/** Small limits, so that short schedules reach the limits of windows, batches, chunks and compaction. */
 const tuning = {
   ...defaultTuning,
   batchEntries: 3,
@@ -45,29 +45,29 @@
 
 const tickMilliseconds = 125;
 
-/** Control hosts in one process, with a network and disks that a schedule disturbs. */
+/** Control hosts in one process, with a simulated network and disks into which a schedule injects faults. */
 export class SimulatedCluster {
   readonly history = new History();
   readonly hosts: readonly SimulatedHost[];
   readonly confirmedReads = new Map<number, readonly number[]>();
   readonly #mutation: Mutation;
-  readonly #watch: ClusterWatch;
+  readonly #observer: ClusterObserver;
   #network: Envelope[] = [];
   #now = 0;
   #lastValue = 0;
   #lastReadId = 0;
-  /** Snapshots that a follower took in place of its log. */
+  /** Number of snapshots that followers installed in place of their log. */
   restoreCount = 0;
 
-  constructor(options: ClusterOptions, watch: ClusterWatch = noWatch) {
-    const { size, seed, mutation, firstElectionShare = 1 } = options;
-    const timed = { ...tuning, firstElectionShare };
+  constructor(options: ClusterOptions, observer: ClusterObserver = noObserver) {
+    const { size, seed, mutation, firstElectionTimeoutFraction = 1 } = options;
+    const clusterTuning = { ...tuning, firstElectionTimeoutFraction };
     this.#mutation = mutation;
-    this.#watch = watch;
+    this.#observer = observer;
     const names = ['a', 'b', 'c', 'd', 'e'].slice(0, size);
     this.hosts = names.map((name, position) => {
       const peers = names.filter((peer) => peer !== name);
-      return new SimulatedHost(name, peers, timed, seed + position * 104_729);
+      return new SimulatedHost(name, peers, clusterTuning, seed + position * 104_729);
     });
   }
 
@@ -91,7 +91,7 @@
     return host;
   }
 
-  /** Gives an event to a running host and carries out what it wants done. */
+  /** Passes an event to a running host and executes the resulting effects. */
   handle(host: SimulatedHost, event: UntimedEvent): void {
     if (host.condition !== 'running') {
       return;
@@ -99,7 +99,7 @@
     const effects = host.handle(this.#now, event);
     this.history.observeLeader(host);
     for (const effect of effects) {
-      this.#carryOut(host, effect);
+      this.#execute(host, effect);
     }
     const write = effects.findLast((effect) => effect.type === 'persist')?.write;
     if (write !== undefined && this.#mutation === 'answersBeforeSync') {
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Lets time pass, while messages and disks stand still. */
+  /** Advances the clock and ticks the hosts; delivers no message and syncs no disk. */
   advance(milliseconds: number): void {
     this.#now += milliseconds;
     for (const host of this.hosts) {
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Lets time pass with a network and disks that work. */
+  /** Advances the clock while messages are delivered and disks are synced. */
   run(milliseconds: number): void {
     for (let passed = 0; passed < milliseconds; passed += tickMilliseconds) {
       this.advance(tickMilliseconds);
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Delivers messages and syncs disks for one tick's worth of round trips. */
+  /** Delivers messages and syncs disks for the round trips of one tick. */
   settle(): void {
     for (let round = 0; round < 6 && this.#isBusy; round += 1) {
       this.hosts.forEach((host) => {
@@ -135,7 +135,7 @@
       const arriving = this.#network;
       this.#network = [];
       arriving.forEach((envelope) => {
-        this.#arrive(envelope);
+        this.#deliverEnvelope(envelope);
       });
     }
   }
@@ -143,14 +143,14 @@
   deliver(position: number): void {
     const [envelope] = this.#network.splice(position % Math.max(this.#network.length, 1), 1);
     if (envelope !== undefined) {
-      this.#arrive(envelope);
+      this.#deliverEnvelope(envelope);
     }
   }
 
   duplicate(position: number): void {
     const envelope = this.#network[position % Math.max(this.#network.length, 1)];
     if (envelope !== undefined) {
-      this.#arrive(envelope);
+      this.#deliverEnvelope(envelope);
     }
   }
 
@@ -179,7 +179,7 @@
     return value;
   }
 
-  /** Asks for a read; its values are in `confirmedReads` once it is known not to be stale. */
+  /** Requests a read; its values are in `confirmedReads` once it is confirmed. */
   read(host: SimulatedHost): number {
     this.#lastReadId += 1;
     const readId = this.#lastReadId;
@@ -199,7 +199,7 @@
     host.disk.crash(keptChanges, keepsHardState);
   }
 
-  /** Wipes a disk, unless it is the last one that holds the log: without any copy there is nothing to keep. */
+  /** Wipes a disk, unless it holds the last copy of the log: without any copy there is nothing left to check. */
   wipe(host: SimulatedHost): void {
     const isKeptElsewhere = this.hosts.some(
       (other) => other !== host && other.disk.synced.hardState.term > 0,
@@ -219,7 +219,7 @@
   /** Ends all faults. */
   heal(): void {
     for (const host of this.hosts) {
-      host.isCut = false;
+      host.isPartitioned = false;
       host.condition = host.condition === 'frozen' ? 'running' : host.condition;
       this.start(host);
     }
@@ -238,17 +238,17 @@
     return this.#network.length > 0 || this.hosts.some(({ disk }) => disk.isDirty);
   }
 
-  #arrive({ from, to, message }: Envelope): void {
+  #deliverEnvelope({ from, to, message }: Envelope): void {
     const host = this.hosts.find(({ name }) => name === to);
     const sender = this.hosts.find(({ name }) => name === from);
-    if (host === undefined || host.isCut || sender?.isCut === true) {
+    if (host === undefined || host.isPartitioned || sender?.isPartitioned === true) {
       return;
     }
     if (host.condition === 'frozen') {
       this.#network.push({ from, to, message });
       return;
     }
-    this.#watch.arrived(this.#now, { from, to, message });
+    this.#observer.delivered(this.#now, { from, to, message });
     this.handle(host, { type: 'received', from, message });
   }
 
@@ -257,8 +257,8 @@
     return this.#lastValue;
   }
 
-  #carryOut(host: SimulatedHost, effect: ConsensusEffect): void {
-    this.#watch.carriedOut(this.#now, host.name, effect);
+  #execute(host: SimulatedHost, effect: ConsensusEffect): void {
+    this.#observer.executed(this.#now, host.name, effect);
     switch (effect.type) {
       case 'send':
         this.#network.push({ from: host.name, to: effect.to, message: effect.message });
--- a/__tests__/consensus/simulation/simulated-disk.ts
+++ b/__tests__/consensus/simulation/simulated-disk.ts
@@ -1,12 +1,12 @@
 import type { DiskChange, LogEntry, StoredState } from '../../../src/consensus/core/index.js';
 
-/** A change that the core handed out and no sync has covered yet. */
+/** A change that the core has emitted and that is not synced yet. */
 interface PendingChange {
   readonly write: number;
   readonly change: DiskChange;
 }
 
-/** A data folder in memory that loses what was not synced when its host crashes. */
+/** An in-memory data folder that loses unsynced changes when its host crashes. */
 export class SimulatedDisk {
   #synced: StoredState;
   #pending: PendingChange[] = [];
@@ -25,7 +25,7 @@
     return this.#synced;
   }
 
-  /** As it will be once everything is synced. */
+  /** The state once all pending changes are synced. */
   get newest(): StoredState {
     return this.#pending.reduce((state, { change }) => applyChange(state, change), this.#synced);
   }
@@ -45,7 +45,7 @@
     return batch.at(-1)?.write;
   }
 
-  /** Loses all but the oldest changes. Term and vote may be on the disk before log entries of the same batch. */
+  /** Drops all but the oldest pending changes. Term and vote may reach the disk before log entries of the same batch. */
   crash(keptChanges: number, keepsHardState: boolean): void {
     this.sync(keptChanges);
     const hardState = this.#pending.findLast(({ change }) => change.type === 'hardState');
--- a/__tests__/consensus/simulation/simulated-host.ts
+++ b/__tests__/consensus/simulation/simulated-host.ts
@@ -10,26 +10,26 @@
 
 type WithoutTime<Event> = Event extends unknown ? Omit<Event, 'now'> : never;
 
-/** An event before the host's clock stamps it. */
+/** An event without the reading of the host's clock. */
 export type UntimedEvent = WithoutTime<ConsensusEvent>;
 
-/** `frozen`: the process is stopped and will go on; `down`: it is gone. */
+/** `frozen`: the process is suspended and can resume; `down`: it has ended. */
 export type HostCondition = 'running' | 'frozen' | 'down';
 
-/** A control host of the simulation: a core, its disk, its state machine, its clock. */
+/** A simulated control host: a core with its disk, state machine and clock. */
 export class SimulatedHost {
   readonly name: string;
   readonly #peers: readonly string[];
   readonly #tuning: CoreTuning;
   readonly #seed: number;
   condition: HostCondition = 'running';
-  isCut = false;
+  isPartitioned = false;
   disk: SimulatedDisk;
   machine = new RegisterMachine();
   #core: ConsensusCore;
   #startedAt = 0;
-  #lives = 0;
-  #wipes = 0;
+  #startCount = 0;
+  #wipeCount = 0;
 
   constructor(name: string, peers: readonly string[], tuning: CoreTuning, seed: number) {
     this.name = name;
@@ -57,15 +57,17 @@
     return this.#core.staleness(now - this.#startedAt);
   }
 
-  /** Loses a disk; a storage id that survives it is a fault put in on purpose. */
+  /** Replaces the disk with a blank one. Reusing the storage id is a deliberate fault. */
   wipe(reusesStorageId: boolean): void {
     this.condition = 'down';
-    this.#wipes += 1;
+    this.#wipeCount += 1;
     const { storageId } = this.disk.synced;
-    this.disk = new SimulatedDisk(reusesStorageId ? storageId : `${this.name}${this.#wipes + 1}`);
+    this.disk = new SimulatedDisk(
+      reusesStorageId ? storageId : `${this.name}${this.#wipeCount + 1}`,
+    );
   }
 
-  /** Starts a new process; its clock begins anew. */
+  /** Starts a new process, whose clock starts at zero. */
   start(now: number): void {
     this.condition = 'running';
     this.#startedAt = now;
@@ -78,8 +80,8 @@
   }
 
   #createCore(): ConsensusCore {
-    this.#lives += 1;
-    const random = createRandomSource(this.#seed + this.#lives * 7919);
+    this.#startCount += 1;
+    const random = createRandomSource(this.#seed + this.#startCount * 7919);
     const settings = { name: this.name, peers: this.#peers, tuning: this.#tuning, random };
     return new ConsensusCore(settings, this.disk.synced);
   }
--- a/__tests__/consensus/simulation/transcript.ts
+++ b/__tests__/consensus/simulation/transcript.ts
@@ -4,10 +4,10 @@
   DiskChange,
   LogEntry,
 } from '../../../src/consensus/core/index.js';
-import type { ClusterWatch, Envelope } from './simulated-cluster.js';
+import type { ClusterObserver, Envelope } from './simulated-cluster.js';
 
-/** Writes down a session, one line an event; idle heartbeats and repeated answers are left out. */
-export class Transcript implements ClusterWatch {
+/** Records a session, one line per event; empty heartbeats and repeated answers are left out. */
+export class Transcript implements ClusterObserver {
   readonly #lines: string[] = [];
   readonly #shownAnswers = new Map<string, string>();
 
@@ -15,12 +15,12 @@
     return `${this.#lines.join('\n')}\n`;
   }
 
-  /** A heading for what the session does next. */
+  /** Adds a heading for the next part of the session. */
   note(text: string): void {
     this.#lines.push('', `# ${text}`);
   }
 
-  readonly arrived = (now: number, { from, to, message }: Envelope): void => {
+  readonly delivered = (now: number, { from, to, message }: Envelope): void => {
     const text = describeMessage(message);
     const isIdle = message.type === 'append' && message.entries.length === 0;
     const isRepeated = this.#shownAnswers.get(`${from} ${to}`) === text;
@@ -32,7 +32,7 @@
     }
   };
 
-  readonly carriedOut = (now: number, host: string, effect: ConsensusEffect): void => {
+  readonly executed = (now: number, host: string, effect: ConsensusEffect): void => {
     const text = describeEffect(effect);
     if (text !== undefined) {
       this.#lines.push(`${now} ${host} ${text}`);
--- a/src/consensus/consensus-node.ts
+++ b/src/consensus/consensus-node.ts
@@ -30,15 +30,15 @@
 import { readEnvelopes } from './stream-transport.js';
 import type { ConsensusTransport } from './transport.js';
 
-/** How often the core looks at the clock: a few times a heartbeat, and seldom enough to cost nothing. */
+/** Interval of the core's ticks: several per heartbeat, yet rare enough for their cost to be negligible. */
 const tickInterval: Milliseconds = 50;
-/** Longest wait of a leader that stops for another one to take its place. */
-const resignLimit: Milliseconds = 1000;
+/** Longest time that a stopping leader waits for another host to take over. */
+const resignTimeout: Milliseconds = 1000;
 
-/** Told what an operator should know. */
+/** Receives events for an operator. */
 export interface ConsensusObserver {
   readonly leadershipChanged: (view: LeadershipView) => void;
-  /** The host can no longer take part (`diskFailed`, `internal`); the process must end. */
+  /** The node has stopped because of a failure (`diskFailed`, `internal`); the process must exit. */
   readonly failed: (failure: Failure) => void;
 }
 
@@ -50,16 +50,16 @@
   readonly folder: DataFolder;
   readonly transport: ConsensusTransport;
   readonly tuning: CoreTuning;
-  /** Entries applied between two snapshots. */
+  /** Number of applied entries between two snapshots. */
   readonly snapshotInterval: number;
-  /** Longest wait for a commit before the submitter is told that it is uncertain. */
+  /** Longest wait for a commit; then the submitter is answered `changeUncertain`. */
   readonly commitLimit: Milliseconds;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly observer: ConsensusObserver;
 }
 
-/** Where a control host stands, for operators. */
+/** Status of a control host, for operators. */
 export interface ConsensusStatus {
   readonly self: Member;
   readonly view: LeadershipView;
@@ -67,11 +67,11 @@
   readonly lastIndex: number;
   readonly commitIndex: number;
   readonly snapshotIndex: number;
-  /** Members that have not answered this leader for as long as an election takes; empty where this host does not lead. */
+  /** Members that have not answered this leader for the shortest election timeout; empty if this host is not the leader. */
   readonly silentMembers: readonly NodeName[];
 }
 
-/** The replicated log of one control host: the core with its disk, its network and its clock. */
+/** The replicated log of one control host: connects the core to the disk, the network and the clock. */
 export class ConsensusNode<Answer> implements ReplicatedLog<Answer>, ManagedPart {
   readonly name = 'replicated log';
   readonly #options: ConsensusNodeOptions<Answer>;
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Reads the data folder and takes part; rejects with a FailureError when the folder is not usable. */
+  /** Reads the data folder and joins the log; rejects with a FailureError when the folder is not usable. */
   async open(): Promise<void> {
     const { name, peers, machine, folder, tuning, random, transport } = this.#options;
     const stored = await folder.open();
@@ -120,9 +120,12 @@
     await this.#options.folder.close();
   }
 
-  /** Hands the leadership over before a planned stop, so that nobody waits for an election; call before the server closes. */
+  /**
+   * Transfers the leadership before a planned stop, so that nobody waits for an election timeout. Call it before the
+   * server closes.
+   */
   async resign(): Promise<void> {
-    const deadline = this.#now() + resignLimit;
+    const deadline = this.#now() + resignTimeout;
     while (this.view().type === 'leader' && this.#now() < deadline) {
       this.#handle({ type: 'resignRequested', now: this.#now() });
       await sleep(tickInterval);
@@ -132,10 +135,10 @@
   readonly propose = (command: string): Promise<Result<Answer, Failure>> =>
     this.#proposals.begin(this.#now(), (proposalId) => {
       if (this.#core === undefined) {
-        this.#proposals.settle(proposalId, new Err(describeStopped()));
+        this.#proposals.settle(proposalId, new Err(createStoppedFailure()));
         return;
       }
-      // Proposals of one turn of the event loop share one write and one message to each follower.
+      // Proposals made in one turn of the event loop are batched into one write and one message to each follower.
       if (this.#queuedProposals.length === 0) {
         setImmediate(() => {
           this.#submitProposals();
@@ -147,17 +150,17 @@
   readonly confirmRead = (): Promise<Result<number, Failure>> =>
     this.#reads.begin(this.#now(), (readId) => {
       if (this.#core === undefined) {
-        this.#reads.settle(readId, new Err(describeStopped()));
+        this.#reads.settle(readId, new Err(createStoppedFailure()));
         return;
       }
       this.#handle({ type: 'readRequested', now: this.#now(), readId });
     });
 
-  /** Takes a host into the members or out of them; resolves once that is committed. Leader only. */
+  /** Adds or removes a member; resolves once the change is committed. Leader only. */
   readonly changeMembers = (change: MembershipChange): Promise<Result<undefined, Failure>> =>
     this.#membershipChanges.begin(this.#now(), (requestId) => {
       if (this.#core === undefined) {
-        this.#membershipChanges.settle(requestId, new Err(describeStopped()));
+        this.#membershipChanges.settle(requestId, new Err(createStoppedFailure()));
         return;
       }
       this.#handle({ type: 'membershipRequested', now: this.#now(), requestId, change });
@@ -178,7 +181,7 @@
     return { self, view, membership, lastIndex, commitIndex, snapshotIndex, silentMembers };
   }
 
-  /** A message from another control host. */
+  /** Handles a message from another control host. */
   readonly receive = (from: NodeName, message: ConsensusMessage): void => {
     this.#handle({ type: 'received', now: this.#now(), from, message });
   };
@@ -195,7 +198,7 @@
     const now = this.#now();
     this.#handle({ type: 'tick', now });
     const failure = createFailure('changeUncertain', 'the commit took too long');
-    this.#proposals.failOlder(now - this.#options.commitLimit, failure);
+    this.#proposals.failStartedBy(now - this.#options.commitLimit, failure);
   }
 
   #submitProposals(): void {
@@ -210,17 +213,17 @@
     }
     try {
       for (const effect of this.#core.handle(event)) {
-        this.#carryOut(effect);
+        this.#execute(effect);
       }
       this.#takeSnapshotWhenDue();
     } catch (error) {
-      // The core throws only where going on could break a promise of the log.
+      // The core throws only where continuing could violate an invariant of the log.
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
       this.#fail(createFailure('internal', detail));
     }
   }
 
-  #carryOut(effect: ConsensusEffect): void {
+  #execute(effect: ConsensusEffect): void {
     switch (effect.type) {
       case 'send':
         this.#options.transport.send(effect.to, effect.message);
@@ -232,7 +235,7 @@
         effect.entries.forEach((committed) => {
           this.#apply(committed);
         });
-        this.#announceCommit();
+        this.#broadcastCommit();
         return;
       case 'restore':
         this.#options.machine.restoreSnapshot(effect.snapshot.index, effect.snapshot.data);
@@ -261,10 +264,10 @@
   }
 
   /**
-   * A leader tells its followers of a commit at once. Left to the next tick, watchers of a follower would learn of each change
-   * up to a tick interval later, and mending a group takes several changes one after the other.
+   * A leader tells its followers of a commit at once. If this waited for the next tick, watchers of a follower would learn
+   * of each change up to a tick interval later, and the repair of a group takes several successive changes.
    */
-  #announceCommit(): void {
+  #broadcastCommit(): void {
     if (this.view().type === 'leader') {
       setImmediate(() => {
         this.#handle({ type: 'tick', now: this.#now() });
@@ -308,6 +311,6 @@
   }
 }
 
-function describeStopped(): Failure {
+function createStoppedFailure(): Failure {
   return createFailure('noQuorum', 'this control host does not take part now', 1000);
 }
--- a/src/consensus/core/core.ts
+++ b/src/consensus/core/core.ts
@@ -3,7 +3,7 @@
 import { Elections } from './elections.js';
 import type { ConsensusEffect, ConsensusEvent, Proposal, StoredState } from './events.js';
 import { FollowerLog } from './follower-log.js';
-import { Formation } from './formation.js';
+import { ClusterFormation } from './formation.js';
 import { Leadership } from './leadership.js';
 import { listMembers, type Member, type Membership, type NodeName } from './membership.js';
 import { MembershipChanges } from './membership-changes.js';
@@ -13,27 +13,27 @@
 import type { CoreSettings } from './settings.js';
 import { CoreState } from './state.js';
 
-/** The decisions of one control host about the replicated log, free of I/O. */
+/** The consensus algorithm (Raft) of one control host, free of I/O: events in, effects out. */
 export class ConsensusCore implements Controller<ConsensusEvent, ConsensusEffect> {
   readonly #state: CoreState;
   readonly #elections: Elections;
-  readonly #formation: Formation;
+  readonly #formation: ClusterFormation;
   readonly #followerLog: FollowerLog;
   readonly #leadership: Leadership;
   readonly #reads: Reads;
   readonly #membershipChanges: MembershipChanges;
-  #shownRole: Role = 'follower';
-  #shownView: LeadershipView;
+  #handledRole: Role = 'follower';
+  #reportedView: LeadershipView;
 
   constructor(settings: CoreSettings, stored: StoredState) {
     this.#state = new CoreState(settings, stored);
     this.#elections = new Elections(this.#state);
-    this.#formation = new Formation(this.#state, this.#elections);
+    this.#formation = new ClusterFormation(this.#state, this.#elections);
     this.#followerLog = new FollowerLog(this.#state);
     this.#leadership = new Leadership(this.#state);
     this.#reads = new Reads(this.#state, this.#leadership);
     this.#membershipChanges = new MembershipChanges(this.#state, this.#leadership);
-    this.#shownView = this.#state.view;
+    this.#reportedView = this.#state.view;
   }
 
   get view(): LeadershipView {
@@ -56,8 +56,7 @@
     return this.#state.commitIndex;
   }
 
-  /** Index of the newest snapshot; 0 before the first. */
-  /** Members that have not answered this leader for as long as an election takes. */
+  /** Members that have not answered this leader for the shortest election timeout; empty on any other host. */
   get silentMembers(): readonly NodeName[] {
     if (this.#state.role !== 'leader') {
       return [];
@@ -68,11 +67,12 @@
       .map(({ name }) => name);
   }
 
+  /** Index of the latest snapshot; 0 before the first. */
   get snapshotIndex(): number {
     return this.#state.log.snapshot?.index ?? 0;
   }
 
-  /** How long ago this host last knew that it was up to date with a leader that had a quorum. */
+  /** Time since this host was last known to be up to date with a leader that had a quorum. */
   staleness(now: Milliseconds): Milliseconds {
     return Math.max(now - this.#state.freshAt, 0);
   }
@@ -81,8 +81,8 @@
     this.#state.observeTime(event.now);
     this.#checkLeadership();
     this.#dispatch(event);
-    this.#settle();
-    return this.#state.outbox.take();
+    this.#advance();
+    return this.#state.outbox.drain();
   }
 
   #dispatch(event: ConsensusEvent): void {
@@ -135,7 +135,7 @@
   }
 
   #receive(from: Member, message: ConsensusMessage): void {
-    // A message for an earlier data folder of this host must not count: that folder's votes and log are lost.
+    // A message for an earlier data folder of this host is dropped: that folder's votes and log are lost.
     const { recipient } = message;
     if (recipient !== undefined && recipient !== this.#state.self.storageId) {
       return;
@@ -226,36 +226,36 @@
   #checkLeadership(): void {
     if (this.#state.role === 'leader' && this.#leadership.hasLostQuorum()) {
       this.#elections.stepDown({ type: 'quorumLost' });
-      this.#settle();
+      this.#advance();
     }
   }
 
-  /** Starts and stops what belongs to a leader, and does what the event made possible. */
-  #settle(): void {
-    this.#followRole();
+  /** Starts or stops the leader's work on a role change, then does what the event has made possible. */
+  #advance(): void {
+    this.#handleRoleChange();
     if (this.#state.role === 'leader') {
       this.#leadership.advanceCommit();
       this.#reads.confirm();
       this.#membershipChanges.advance();
-      this.#resignWhenRemoved();
+      this.#stepDownWhenRemoved();
     }
-    this.#showView();
+    this.#reportView();
   }
 
-  /** A leader that was taken out leads until that change is committed. */
-  #resignWhenRemoved(): void {
+  /** A leader that was removed from the voters stays leader until that change is committed. */
+  #stepDownWhenRemoved(): void {
     const { log, self, commitIndex } = this.#state;
     const isVoter = log.membership.voters.some((voter) => voter.storageId === self.storageId);
     if (!isVoter && log.membershipIndex <= commitIndex) {
       this.#elections.stepDown({ type: 'removed' });
-      this.#followRole();
+      this.#handleRoleChange();
     }
   }
 
-  #followRole(): void {
+  #handleRoleChange(): void {
     const { role } = this.#state;
-    const wasLeader = this.#shownRole === 'leader';
-    this.#shownRole = role;
+    const wasLeader = this.#handledRole === 'leader';
+    this.#handledRole = role;
     if (role === 'leader' && !wasLeader) {
       this.#leadership.start();
     }
@@ -266,10 +266,10 @@
     }
   }
 
-  #showView(): void {
+  #reportView(): void {
     const { view } = this.#state;
-    if (!isSameView(view, this.#shownView)) {
-      this.#shownView = view;
+    if (!isSameView(view, this.#reportedView)) {
+      this.#reportedView = view;
       this.#state.outbox.emit({ type: 'leadershipChanged', view });
     }
   }
--- a/src/consensus/core/elections.ts
+++ b/src/consensus/core/elections.ts
@@ -11,14 +11,14 @@
 import type { RoleEvent } from './role.js';
 import type { CoreState } from './state.js';
 
-/** Elects a leader: at most one a term, and only one that holds every committed entry. */
+/** Elects a leader: at most one per term, and only a host whose log holds every committed entry. */
 export class Elections {
   readonly #state: CoreState;
   readonly #grants = new Set<StorageId>();
-  /** When to ask for votes unless a leader is heard; undefined until the first reading of the clock. */
+  /** When to start an election unless a leader is heard first; undefined until the first tick. */
   #deadline: Milliseconds | undefined;
   #heardLeaderAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Number of the write that holds this candidate's vote for itself. */
+  /** Number of the write that persists this candidate's vote for itself. */
   #ownVoteWrite = 0;
 
   constructor(state: CoreState) {
@@ -40,12 +40,12 @@
     this.#askForPreVotes();
   }
 
-  /** Asks for votes at the next tick; for the host that just formed the first membership. */
-  hasten(): void {
+  /** Starts an election at the next tick. Used by the host that just created the first membership. */
+  startSoon(): void {
     this.#deadline = this.#state.now;
   }
 
-  /** A valid message of the leader of `term` came. */
+  /** Handles a valid message from the leader of `term`. */
   followLeader(term: number, leader: Member): void {
     if (term > this.#state.term) {
       this.#state.saveHardState(term, undefined);
@@ -77,7 +77,7 @@
 
   answerPreVote(from: NodeName, message: PreVoteMessage): void {
     const { term } = this.#state;
-    const isGranted = message.term > term && !this.#hasLeader() && this.#isCurrent(message);
+    const isGranted = message.term > term && !this.#hasLeader() && this.#isLogUpToDate(message);
     this.#state.outbox.sendWhenSynced(from, {
       type: 'preVoteAnswer',
       sender: this.#state.self.storageId,
@@ -89,16 +89,16 @@
   }
 
   /**
-   * While a leader is heard, a vote of a higher term is not even noticed: a host that was cut off and comes back with a
-   * high term would otherwise depose a leader that serves everybody else.
+   * While a leader is heard, vote requests of a higher term are ignored. Otherwise a host that rejoins with a high term
+   * after a network partition could depose a leader that still serves all other hosts.
    */
   answerVote(from: NodeName, message: VoteMessage): void {
-    const isUnwanted = this.#hasLeader() && !message.isInvited;
-    if (message.term > this.#state.term && isUnwanted) {
+    const isDisruptive = this.#hasLeader() && !message.isInvited;
+    if (message.term > this.#state.term && isDisruptive) {
       return;
     }
     this.observeTerm(message.term);
-    const isGranted = this.#mayVoteFor(message);
+    const isGranted = this.#canVoteFor(message);
     if (isGranted) {
       this.#voteFor(message.sender);
     }
@@ -111,7 +111,7 @@
     });
   }
 
-  /** Takes the place of a leader that is about to stop, without waiting for its silence. */
+  /** Starts an election at the request of a leader that is about to stop, without waiting for the election timeout. */
   handleInvitation(message: ElectionInvitationMessage): void {
     const { log, self, term, role } = this.#state;
     const isInvited = message.term === term && role === 'follower';
@@ -123,8 +123,8 @@
 
   countPreVote(message: PreVoteAnswerMessage): void {
     this.observeTerm(message.term);
-    const isForThis = message.proposedTerm === this.#state.term + 1;
-    if (this.#state.role !== 'preCandidate' || !message.isGranted || !isForThis) {
+    const isForThisElection = message.proposedTerm === this.#state.term + 1;
+    if (this.#state.role !== 'preCandidate' || !message.isGranted || !isForThisElection) {
       return;
     }
     this.#grants.add(message.sender);
@@ -133,15 +133,15 @@
 
   countVote(message: VoteAnswerMessage): void {
     this.observeTerm(message.term);
-    const isForThis = message.term === this.#state.term;
-    if (this.#state.role !== 'candidate' || !message.isGranted || !isForThis) {
+    const isForThisElection = message.term === this.#state.term;
+    if (this.#state.role !== 'candidate' || !message.isGranted || !isForThisElection) {
       return;
     }
     this.#grants.add(message.sender);
     this.#countVotes();
   }
 
-  /** Counts this candidate's own vote, once it is synced like any other. */
+  /** Counts this candidate's own vote once it is synced, as for any other vote. */
   handleSynced(): void {
     const isReady = this.#state.outbox.isSynced(this.#ownVoteWrite);
     if (this.#state.role !== 'candidate' || !isReady) {
@@ -161,7 +161,10 @@
     this.#grants.clear();
     this.#grants.add(self.storageId);
     for (const voter of this.#listOtherVoters()) {
-      const message = { type: 'preVote', ...this.#describe(voter, this.#state.term + 1) } as const;
+      const message = {
+        type: 'preVote',
+        ...this.#createCandidacy(voter, this.#state.term + 1),
+      } as const;
       this.#state.outbox.sendWhenSynced(voter.name, message);
     }
     this.#countPreVotes();
@@ -181,7 +184,7 @@
     this.#grants.clear();
     this.#armDeadline();
     for (const voter of this.#listOtherVoters()) {
-      const candidacy = this.#describe(voter, this.#state.term);
+      const candidacy = this.#createCandidacy(voter, this.#state.term);
       const message = { type: 'vote', ...candidacy, isInvited } as const;
       this.#state.outbox.sendWhenSynced(voter.name, message);
     }
@@ -195,10 +198,10 @@
     this.#state.setLeader(this.#state.self);
   }
 
-  #mayVoteFor(message: VoteMessage): boolean {
+  #canVoteFor(message: VoteMessage): boolean {
     const { term, votedFor } = this.#state;
     const isFree = votedFor === undefined || votedFor === message.sender;
-    return message.term === term && isFree && this.#isCurrent(message);
+    return message.term === term && isFree && this.#isLogUpToDate(message);
   }
 
   #voteFor(candidate: StorageId): void {
@@ -208,7 +211,7 @@
     }
   }
 
-  #isCurrent(message: PreVoteMessage | VoteMessage): boolean {
+  #isLogUpToDate(message: PreVoteMessage | VoteMessage): boolean {
     const candidate = { index: message.lastIndex, term: message.lastTerm };
     return isUpToDate(candidate, this.#state.log.last);
   }
@@ -218,7 +221,7 @@
       return true;
     }
     const silence = this.#state.now - this.#heardLeaderAt;
-    return silence < this.#state.settings.tuning.electionMinimum;
+    return silence < this.#state.settings.tuning.electionTimeoutMinimum;
   }
 
   #listOtherVoters(): readonly Member[] {
@@ -226,7 +229,7 @@
     return log.membership.voters.filter((voter) => voter.storageId !== self.storageId);
   }
 
-  #describe(voter: Member, term: number): Omit<PreVoteMessage, 'type'> {
+  #createCandidacy(voter: Member, term: number): Omit<PreVoteMessage, 'type'> {
     const { log, self } = this.#state;
     return {
       sender: self.storageId,
@@ -238,18 +241,18 @@
   }
 
   /**
-   * A host that has just started has no leader to be patient with: where all control hosts were started anew, nobody leads, and
-   * where one leads, the others refuse the pre-vote.
+   * A host that has not heard a leader since it started uses a shorter election timeout. If all control hosts were
+   * restarted, there is no leader to wait for; if there is a leader, the other hosts refuse the pre-vote.
    */
-  get #waitShare(): number {
+  get #timeoutFraction(): number {
     const hasHeardLeader = this.#heardLeaderAt !== Number.NEGATIVE_INFINITY;
-    return hasHeardLeader ? 1 : this.#state.settings.tuning.firstElectionShare;
+    return hasHeardLeader ? 1 : this.#state.settings.tuning.firstElectionTimeoutFraction;
   }
 
   #armDeadline(): void {
-    const { electionMinimum, electionMaximum } = this.#state.settings.tuning;
-    const spread = Math.max(electionMaximum - electionMinimum, 1);
-    const wait = electionMinimum + this.#state.settings.random.integerBelow(spread);
-    this.#deadline = this.#state.now + wait * this.#waitShare;
+    const { electionTimeoutMinimum, electionTimeoutMaximum } = this.#state.settings.tuning;
+    const range = Math.max(electionTimeoutMaximum - electionTimeoutMinimum, 1);
+    const timeout = electionTimeoutMinimum + this.#state.settings.random.integerBelow(range);
+    this.#deadline = this.#state.now + timeout * this.#timeoutFraction;
   }
 }
--- a/src/consensus/core/entry.ts
+++ b/src/consensus/core/entry.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** What the log holds, in memory, on disk and between control hosts. */
+/** Schemas of the log's contents, as used in memory, on disk and between control hosts. */
 
 const member = z.strictObject({ name: z.string(), storageId: z.string() }).readonly();
 
@@ -13,13 +13,14 @@
   z.strictObject({ type: z.literal('command'), command: z.string() }).readonly(),
   z.strictObject({ type: z.literal('membership'), membership: membershipSchema }).readonly(),
   /**
-   * The first entry of each leader. Entries of earlier terms are committed only below a committed entry of the present
-   * one: counted by themselves they could still be overwritten by a later leader.
+   * The first entry of each leader, without effect on the state machine. Entries of earlier terms are committed only by
+   * committing an entry of the current term after them: if a leader counted their copies alone, a later leader could
+   * still overwrite them.
    */
   z.strictObject({ type: z.literal('leaderStart') }).readonly(),
 ]);
 
-/** One entry; index and term together identify it and all entries before it. */
+/** One log entry. Its index and term together identify it and all entries before it. */
 export const logEntrySchema = z.strictObject({ index: z.int(), term: z.int(), payload }).readonly();
 
 export type LogEntry = z.infer<typeof logEntrySchema>;
@@ -31,7 +32,7 @@
   readonly term: number;
 }
 
-/** The state machine's state after the entry at `index`, in place of the entries up to it. */
+/** The state machine's state after the entry at `index`; replaces the entries up to that index. */
 export const snapshotSchema = z
   .strictObject({
     index: z.int(),
@@ -44,14 +45,14 @@
 
 export type Snapshot = z.infer<typeof snapshotSchema>;
 
-/** The term that this data folder has seen and the candidate it voted for in it. */
+/** The latest term that this data folder has seen, and the candidate that it voted for in that term. */
 export const hardStateSchema = z
   .strictObject({ term: z.int(), votedFor: z.string().optional() })
   .readonly();
 
 export type HardState = z.infer<typeof hardStateSchema>;
 
-/** Whether a candidate whose last entry is `candidate` has at least the log of a voter. */
+/** Whether a candidate whose last entry is `candidate` has a log at least as up to date as the voter's. */
 export function isUpToDate(candidate: LogPosition, voter: LogPosition): boolean {
   if (candidate.term !== voter.term) {
     return candidate.term > voter.term;
--- a/src/consensus/core/events.ts
+++ b/src/consensus/core/events.ts
@@ -4,21 +4,21 @@
 import type { Member, NodeName, StorageId } from './membership.js';
 import type { ConsensusMessage } from './messages.js';
 
-/** What happens to the core, and what it wants done. */
+/** Events that the core handles, and effects that it asks its host to execute. */
 
-/** A command on its way into the log; the id is the shell's. */
+/** A command to append to the log; the caller of the core chooses the id. */
 export interface Proposal {
   readonly proposalId: number;
   readonly command: string;
 }
 
-/** A change of one member, asked for by an operator. */
+/** A change of one member, requested by an operator or made by the leader. */
 export type MembershipChange =
   | { readonly type: 'admit'; readonly member: Member }
   | { readonly type: 'remove'; readonly name: NodeName };
 
 interface Timed {
-  /** Reading of a monotonic clock. */
+  /** Monotonic clock reading. */
   readonly now: Milliseconds;
 }
 
@@ -29,7 +29,7 @@
       readonly from: NodeName;
       readonly message: ConsensusMessage;
     })
-  /** A write and all before it are synced. */
+  /** The write with this number and all earlier ones are synced. */
   | (Timed & { readonly type: 'persisted'; readonly write: number })
   | (Timed & { readonly type: 'proposed'; readonly proposals: readonly Proposal[] })
   | (Timed & { readonly type: 'readRequested'; readonly readId: number })
@@ -38,22 +38,22 @@
       readonly requestId: number;
       readonly change: MembershipChange;
     })
-  /** This host is about to stop: hand the leadership to another one. */
+  /** This host is about to stop and should transfer its leadership to another one. */
   | (Timed & { readonly type: 'resignRequested' })
-  /** The state machine's state after the entry at `index`, which was applied. */
+  /** A snapshot of the state machine after it applied the entry at `index`. */
   | (Timed & { readonly type: 'snapshotTaken'; readonly index: number; readonly data: string });
 
-/** A change of the data folder. */
+/** A change to the data folder. */
 export type DiskChange =
   | { readonly type: 'promise'; readonly promisedTo: StorageId }
   | { readonly type: 'hardState'; readonly hardState: HardState }
-  /** Drop the entries after `keepThrough`, then add these. */
+  /** Truncate the log after `keepThrough`, then append these entries. */
   | {
       readonly type: 'append';
       readonly keepThrough: number;
       readonly entries: readonly LogEntry[];
     }
-  /** The entries up to `compactThrough` are no longer needed; with `discardsLog`, none of the entries is. */
+  /** The entries up to `compactThrough` are no longer needed; with `discardsLog`, no entry at all is. */
   | {
       readonly type: 'snapshot';
       readonly snapshot: Snapshot;
@@ -61,7 +61,7 @@
       readonly discardsLog: boolean;
     };
 
-/** A committed entry, and the proposal of this host that it answers. */
+/** A committed entry, and the proposal of this host that it fulfils, if any. */
 export interface CommittedEntry {
   readonly entry: LogEntry;
   readonly proposalId: number | undefined;
@@ -69,7 +69,7 @@
 
 export type ConsensusEffect =
   | { readonly type: 'send'; readonly to: NodeName; readonly message: ConsensusMessage }
-  /** Writes go to disk in order; `persisted` answers the last one of a batch. */
+  /** Writes go to disk in order. A `persisted` event acknowledges the last write of a batch, and so all before it. */
   | { readonly type: 'persist'; readonly write: number; readonly change: DiskChange }
   | { readonly type: 'apply'; readonly entries: readonly CommittedEntry[] }
   | { readonly type: 'restore'; readonly snapshot: Snapshot }
@@ -87,10 +87,10 @@
     }
   | { readonly type: 'leadershipChanged'; readonly view: LeadershipView };
 
-/** What a data folder held when the process started. */
+/** Contents of the data folder when the process started. */
 export interface StoredState {
   readonly storageId: StorageId;
-  /** Coordinator of the first start that this data folder promised to take part in. */
+  /** Storage id of the coordinator whose cluster formation this data folder has promised to join. */
   readonly promisedTo: StorageId | undefined;
   readonly hardState: HardState;
   readonly snapshot: Snapshot | undefined;
--- a/src/consensus/core/follower-log.ts
+++ b/src/consensus/core/follower-log.ts
@@ -3,7 +3,7 @@
 import { SnapshotAssembly } from './snapshot-assembly.js';
 import type { CoreState } from './state.js';
 
-/** What every answer to a leader carries. */
+/** Fields of every answer to a leader. */
 interface AnswerHeader {
   readonly sender: string;
   readonly recipient: string;
@@ -13,7 +13,7 @@
   readonly clock: { readonly incarnation: number; readonly at: number };
 }
 
-/** Takes the leader's log into this host's, and answers what is synced. */
+/** Appends the leader's entries to this host's log, and acknowledges them once they are synced. */
 export class FollowerLog {
   readonly #state: CoreState;
   #assembly: SnapshotAssembly | undefined;
@@ -28,13 +28,13 @@
       this.#reject(leader.name, message, wantedIndex);
       return;
     }
-    this.#takeEntries(message);
+    this.#appendEntries(message);
     const matchIndex = message.previousIndex + message.entries.length;
     this.#state.advanceCommit(Math.min(message.commitIndex, matchIndex));
     this.#observeFreshness(message);
     this.#state.outbox.sendWhenSynced(leader.name, {
       type: 'appendAccepted',
-      ...this.#describe(message),
+      ...this.#createAnswerHeader(message),
       matchIndex,
     });
   }
@@ -44,11 +44,11 @@
       this.#acceptSnapshot(leader.name, message);
       return;
     }
-    if (this.#assembly?.isOf(message) !== true) {
+    if (this.#assembly?.matches(message) !== true) {
       this.#assembly = new SnapshotAssembly(message);
     }
     this.#assembly.add(message);
-    if (this.#assembly.isWhole) {
+    if (this.#assembly.isComplete) {
       this.#state.installSnapshot(this.#assembly.assemble());
       this.#assembly = undefined;
       this.#acceptSnapshot(leader.name, message);
@@ -56,13 +56,13 @@
     }
     this.#state.outbox.sendWhenSynced(leader.name, {
       type: 'snapshotProgress',
-      ...this.#describe(message),
+      ...this.#createAnswerHeader(message),
       snapshotIndex: message.snapshotIndex,
       wantedOffset: this.#assembly.wantedOffset,
     });
   }
 
-  /** First index that the leader must go back to; undefined when its entries follow from this log. */
+  /** First index from which the leader must resend; undefined when the message's entries connect to this log. */
   #findGap(message: AppendMessage): number | undefined {
     const { log, commitIndex } = this.#state;
     const { previousIndex, previousTerm } = message;
@@ -75,7 +75,7 @@
     return Math.max(log.findTermStart(previousIndex), commitIndex + 1);
   }
 
-  #takeEntries(message: AppendMessage): void {
+  #appendEntries(message: AppendMessage): void {
     const { log } = this.#state;
     const firstNew = message.entries.findIndex(
       (entry) => entry.index > log.base.index && log.termAt(entry.index) !== entry.term,
@@ -88,8 +88,8 @@
   }
 
   /**
-   * The leader sends back this host's own clock reading, so that a message which was stuck on the way for long does not
-   * make old state look fresh.
+   * Freshness is measured from this host's own clock reading, which the leader echoes. A message that was delayed for
+   * long therefore does not make old state look fresh.
    */
   #observeFreshness(message: AppendMessage): void {
     const isComparable = message.echo?.incarnation === this.#state.incarnation;
@@ -102,7 +102,7 @@
   #reject(leader: NodeName, message: AppendMessage, wantedIndex: number): void {
     this.#state.outbox.sendWhenSynced(leader, {
       type: 'appendRejected',
-      ...this.#describe(message),
+      ...this.#createAnswerHeader(message),
       previousIndex: message.previousIndex,
       wantedIndex,
     });
@@ -111,12 +111,12 @@
   #acceptSnapshot(leader: NodeName, message: SnapshotChunkMessage): void {
     this.#state.outbox.sendWhenSynced(leader, {
       type: 'appendAccepted',
-      ...this.#describe(message),
+      ...this.#createAnswerHeader(message),
       matchIndex: message.snapshotIndex,
     });
   }
 
-  #describe(message: LeaderMessage): AnswerHeader {
+  #createAnswerHeader(message: LeaderMessage): AnswerHeader {
     return {
       sender: this.#state.self.storageId,
       recipient: message.sender,
--- a/src/consensus/core/formation.ts
+++ b/src/consensus/core/formation.ts
@@ -9,27 +9,30 @@
 } from './messages.js';
 import type { CoreState } from './state.js';
 
-/** Term of the entry that holds the first membership; every leader has a later one. */
+/** Term of the entry that holds the first membership. Every leader has a higher term. */
 const formationTerm = 0;
 
 /**
- * Forms the first membership, once, when the data folders of all voters are blank at one moment.
+ * Bootstraps the cluster: creates the first membership, once, when the data folders of all voters are blank at the same
+ * time.
  *
- * One host, the first by name, coordinates. It asks every host whether it is blank, and only when all have said so it
- * asks those data folders for a promise, which they sync before they answer and give to no other coordinator. A data
- * folder never becomes blank again, so one that is blank when it promises was blank when the last one had answered:
- * at that moment there was no log anywhere. Promises alone do not show this: a host could promise, be taken into the
- * existing log, and the hosts of that log be wiped one after the other, each promising while it is blank; two logs of
- * the same voters would be the end of it.
+ * The host whose name sorts first is the coordinator. It first asks every host whether its data folder is blank. Only
+ * after all have confirmed this does it ask the same data folders for a promise. A host syncs its promise before it
+ * answers, and never promises to another coordinator. A data folder never becomes blank again, so one that is blank when
+ * it promises was also blank when the last host confirmed: at that moment no log existed anywhere.
+ *
+ * Promises alone would not prove this. A host could promise and then be admitted to an existing log, and the hosts of
+ * that log could then be wiped one after the other, each promising while it is blank. The result would be two logs with
+ * the same voters.
  */
-export class Formation {
+export class ClusterFormation {
   readonly #state: CoreState;
   readonly #elections: Elections;
-  /** Tells the answers to this attempt from earlier ones. */
+  /** Distinguishes answers to this attempt from answers to earlier ones. */
   #nonce: number;
-  readonly #blank = new Map<NodeName, StorageId>();
-  readonly #promised = new Set<StorageId>();
-  #askedAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  readonly #blankHosts = new Map<NodeName, StorageId>();
+  readonly #promises = new Set<StorageId>();
+  #lastRequestAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(state: CoreState, elections: Elections) {
     this.#state = state;
@@ -39,26 +42,26 @@
 
   tick(): void {
     const { log, self, leader, now, settings } = this.#state;
-    const isDue = now - this.#askedAt >= settings.tuning.heartbeat * 2;
-    // A host that was taken out may not know it, and is told nothing any more; so it speaks up when it hears no leader.
+    const isDue = now - this.#lastRequestAt >= settings.tuning.heartbeat * 2;
+    // A removed host is sent nothing more and may not know of its removal, so any host without a leader announces itself.
     const isLed = isMember(log.membership, self.storageId) && leader !== undefined;
     if (!isDue || isLed) {
       return;
     }
-    this.#askedAt = now;
+    this.#lastRequestAt = now;
     for (const peer of settings.peers) {
       this.#state.outbox.send(peer, { type: 'greeting', sender: self.storageId });
     }
-    if (this.#mayCoordinate()) {
+    if (this.#canCoordinate()) {
       this.#inquire();
-      this.#askForPromises();
+      this.#requestPromises();
       this.#formWhenPromised();
     }
   }
 
   answerInquiry(coordinator: Member, message: FormationInquiryMessage): void {
     const { outbox, self } = this.#state;
-    if (this.#mayTakePart(coordinator)) {
+    if (this.#canParticipate(coordinator)) {
       outbox.sendWhenSynced(coordinator.name, {
         type: 'formationBlank',
         sender: self.storageId,
@@ -69,25 +72,25 @@
   }
 
   handleBlank(voter: Member, message: FormationBlankMessage): void {
-    if (!this.#mayCoordinate() || message.nonce !== this.#nonce) {
+    if (!this.#canCoordinate() || message.nonce !== this.#nonce) {
       return;
     }
-    const known = this.#blank.get(voter.name);
+    const known = this.#blankHosts.get(voter.name);
     if (known !== undefined && known !== voter.storageId) {
-      // The host was wiped since it answered, so the answers of the others no longer belong to one moment.
+      // The host was wiped after it answered, so the answers no longer describe one point in time.
       this.#restart();
       return;
     }
     if (known === undefined) {
-      this.#blank.set(voter.name, voter.storageId);
-      this.#askForPromises();
+      this.#blankHosts.set(voter.name, voter.storageId);
+      this.#requestPromises();
     }
   }
 
   answerQuestion(coordinator: Member, message: FormationQuestionMessage): void {
     const { promisedTo, outbox, self } = this.#state;
-    const isAsked = message.voters.some((voter) => voter.storageId === self.storageId);
-    if (!isAsked || !this.#mayTakePart(coordinator)) {
+    const isIncluded = message.voters.some((voter) => voter.storageId === self.storageId);
+    if (!isIncluded || !this.#canParticipate(coordinator)) {
       return;
     }
     if (promisedTo === undefined) {
@@ -102,15 +105,15 @@
   }
 
   handlePromise(voter: Member, message: FormationPromiseMessage): void {
-    const isOfAttempt = message.nonce === this.#nonce;
-    if (!this.#mayCoordinate() || !isOfAttempt || !this.#hasAllBlank()) {
+    const isForThisAttempt = message.nonce === this.#nonce;
+    if (!this.#canCoordinate() || !isForThisAttempt || !this.#areAllBlank()) {
       return;
     }
-    this.#promised.add(voter.storageId);
+    this.#promises.add(voter.storageId);
     this.#formWhenPromised();
   }
 
-  /** Asks again and again, also those that have answered: a host may have been wiped since. */
+  /** Repeats the inquiry, also to hosts that have answered: a host may have been wiped in the meantime. */
   #inquire(): void {
     const { settings, self, outbox } = this.#state;
     for (const peer of settings.peers) {
@@ -119,9 +122,9 @@
     }
   }
 
-  #askForPromises(): void {
+  #requestPromises(): void {
     const { settings, self, outbox } = this.#state;
-    if (!this.#hasAllBlank()) {
+    if (!this.#areAllBlank()) {
       return;
     }
     const voters = this.#listVoters();
@@ -133,41 +136,41 @@
 
   #restart(): void {
     this.#nonce = this.#createNonce();
-    this.#blank.clear();
-    this.#promised.clear();
+    this.#blankHosts.clear();
+    this.#promises.clear();
   }
 
   #formWhenPromised(): void {
     const { self } = this.#state;
     const voters = this.#listVoters();
-    const isPromised = (voter: Member): boolean =>
-      voter.storageId === self.storageId || this.#promised.has(voter.storageId);
-    if (!this.#hasAllBlank() || !voters.every(isPromised)) {
+    const hasPromised = (voter: Member): boolean =>
+      voter.storageId === self.storageId || this.#promises.has(voter.storageId);
+    if (!this.#areAllBlank() || !voters.every(hasPromised)) {
       return;
     }
     const membership = { voters, learners: [] };
     this.#state.saveEntries(0, [
       { index: 1, term: formationTerm, payload: { type: 'membership', membership } },
     ]);
-    this.#elections.hasten();
+    this.#elections.startSoon();
   }
 
   #listVoters(): readonly Member[] {
-    const others = [...this.#blank].map(([name, storageId]): Member => ({ name, storageId }));
+    const others = [...this.#blankHosts].map(([name, storageId]): Member => ({ name, storageId }));
     return [this.#state.self, ...others];
   }
 
-  #hasAllBlank(): boolean {
-    return this.#state.settings.peers.every((peer) => this.#blank.has(peer));
+  #areAllBlank(): boolean {
+    return this.#state.settings.peers.every((peer) => this.#blankHosts.has(peer));
   }
 
-  #mayTakePart(coordinator: Member): boolean {
+  #canParticipate(coordinator: Member): boolean {
     const { promisedTo, isBlank } = this.#state;
-    const isFree = promisedTo === undefined || promisedTo === coordinator.storageId;
-    return isBlank && isFree && !this.#isCoordinator();
+    const isAvailable = promisedTo === undefined || promisedTo === coordinator.storageId;
+    return isBlank && isAvailable && !this.#isCoordinator();
   }
 
-  #mayCoordinate(): boolean {
+  #canCoordinate(): boolean {
     const { promisedTo, isBlank } = this.#state;
     return this.#isCoordinator() && isBlank && promisedTo === undefined;
   }
--- a/src/consensus/core/leadership.ts
+++ b/src/consensus/core/leadership.ts
@@ -4,39 +4,39 @@
 import { findQuorumValue, listMembers, type Member, type StorageId } from './membership.js';
 import type { AcknowledgementMessage } from './messages.js';
 import { FollowerProgress } from './progress.js';
-import { Replication, type RoundStamp } from './replication.js';
+import { Replication, type RoundInfo } from './replication.js';
 import type { CoreState } from './state.js';
 
-/** What a leader does: rounds, proposals, commits, and stepping down when it may be leader no more. */
+/** The leader's work: heartbeat rounds, proposals, commits and leadership transfer, and the check for a lost quorum. */
 export class Leadership {
   readonly #state: CoreState;
   readonly #replication: Replication;
   readonly #followers = new Map<StorageId, FollowerProgress>();
   #round = 0;
-  #broadcastAt: Milliseconds = 0;
+  #lastBroadcastAt: Milliseconds = 0;
   #startIndex = 0;
-  /** While it resigns, a leader takes no proposals, so that a follower can have the whole log. */
+  /** A resigning leader accepts no proposals, so that a follower can catch up with the whole log. */
   #isResigning = false;
-  /** Commit index of the newest broadcast. */
-  #announcedCommit = 0;
+  /** Commit index that the latest broadcast carried. */
+  #broadcastCommitIndex = 0;
 
   constructor(state: CoreState) {
     this.#state = state;
     this.#replication = new Replication(state);
   }
 
-  /** Index of this leader's first entry: every entry committed before its election is below it. */
+  /** Index of this leader's first entry. Every entry committed before its election has a lower index. */
   get startIndex(): number {
     return this.#startIndex;
   }
 
-  /** The newest round that a quorum of the voters answered. */
+  /** The latest round that a quorum of the voters has acknowledged. */
   get confirmedRound(): number {
     return this.#findQuorumValue(Infinity, (follower) => follower.round);
   }
 
-  /** When this leader last knew that it had a quorum. */
-  get quorumAt(): Milliseconds {
+  /** Latest time at which this leader is known to have had a quorum. */
+  get quorumConfirmedAt(): Milliseconds {
     return this.#findQuorumValue(this.#state.now, (follower) => follower.acknowledgedAt);
   }
 
@@ -49,7 +49,7 @@
     this.broadcast();
   }
 
-  /** Hands the leadership to the voter that has most of the log, as soon as it has all of it. */
+  /** Transfers the leadership to the first voter that has the whole log. */
   resign(): void {
     this.#isResigning = true;
     this.#inviteSuccessor();
@@ -63,37 +63,37 @@
   }
 
   /**
-   * Whether a quorum has been silent for as long as it needs to elect another leader.
-   * Called before anything else is done with an event: a process that was frozen (or a host that was cut off) goes on as
-   * if it were still leader, and would give old state as fresh.
+   * Whether no quorum has answered for the shortest election timeout, so that another leader may have been elected.
+   * Checked before an event is handled: a process that was suspended, or a host that was partitioned, would otherwise
+   * continue as leader and serve stale state as fresh.
    */
   hasLostQuorum(): boolean {
-    const silence = this.#state.now - this.quorumAt;
-    return silence >= this.#state.settings.tuning.electionMinimum;
+    const silence = this.#state.now - this.quorumConfirmedAt;
+    return silence >= this.#state.settings.tuning.electionTimeoutMinimum;
   }
 
-  /** Followers learn of commits with the next entries, with the next tick, or with a heartbeat. */
+  /** Broadcasts when a heartbeat is due or the commit index has advanced; followers also learn of commits with new entries. */
   tick(): void {
-    const isDue = this.#state.now - this.#broadcastAt >= this.#state.settings.tuning.heartbeat;
-    if (isDue || this.#state.commitIndex > this.#announcedCommit) {
+    const isDue = this.#state.now - this.#lastBroadcastAt >= this.#state.settings.tuning.heartbeat;
+    if (isDue || this.#state.commitIndex > this.#broadcastCommitIndex) {
       this.broadcast();
     }
   }
 
-  /** Begins a round: every follower hears the leader, and is sent what it lacks. Returns its number. */
+  /** Starts a round: sends every follower a heartbeat with the entries that it lacks. Returns the round's number. */
   broadcast(): number {
     this.#round += 1;
-    this.#broadcastAt = this.#state.now;
-    this.#announcedCommit = this.#state.commitIndex;
+    this.#lastBroadcastAt = this.#state.now;
+    this.#broadcastCommitIndex = this.#state.commitIndex;
     this.#updateFollowers();
-    const stamp = this.#stamp();
+    const roundInfo = this.#createRoundInfo();
     for (const follower of this.#followers.values()) {
-      this.#replication.sendHeartbeat(follower, stamp);
+      this.#replication.sendHeartbeat(follower, roundInfo);
     }
     return this.#round;
   }
 
-  /** Takes proposals into the log. */
+  /** Appends proposals to the log; those beyond the limit are refused. */
   propose(proposals: readonly Proposal[]): void {
     const limit = this.#isResigning ? 0 : this.#state.settings.tuning.pendingProposals;
     const room = limit - this.#state.proposals.size;
@@ -114,24 +114,24 @@
     this.sendEntries();
   }
 
-  /** Refuses proposals that never entered the log. */
+  /** Refuses proposals that were not appended to the log. */
   refuse(proposals: readonly Proposal[], failure: Failure): void {
     for (const { proposalId } of proposals) {
       this.#state.outbox.emit({ type: 'proposalFailed', proposalId, failure });
     }
   }
 
-  /** Appends an entry that is no proposal; it is sent with the next broadcast or batch. */
+  /** Appends an entry that is not a proposal; it is sent with the next broadcast or batch. */
   append(payload: EntryPayload): LogEntry | undefined {
     return this.#appendPayloads([payload])[0];
   }
 
-  /** Sends each follower what it lacks. */
+  /** Sends each follower the entries that it lacks. */
   sendEntries(): void {
     this.#updateFollowers();
-    const stamp = this.#stamp();
+    const roundInfo = this.#createRoundInfo();
     for (const follower of this.#followers.values()) {
-      this.#replication.sendEntries(follower, stamp);
+      this.#replication.sendEntries(follower, roundInfo);
     }
   }
 
@@ -141,34 +141,34 @@
       return;
     }
     follower.acknowledge(message);
-    const stamp = this.#stamp();
+    const roundInfo = this.#createRoundInfo();
     switch (message.type) {
       case 'appendAccepted':
-        this.#replication.handleAccepted(follower, message, stamp);
+        this.#replication.handleAccepted(follower, message, roundInfo);
         this.advanceCommit();
         this.#inviteSuccessor();
         return;
       case 'appendRejected':
-        this.#replication.handleRejected(follower, message, stamp);
+        this.#replication.handleRejected(follower, message, roundInfo);
         return;
       case 'snapshotProgress':
-        this.#replication.handleSnapshotProgress(follower, message, stamp);
+        this.#replication.handleSnapshotProgress(follower, message, roundInfo);
         return;
     }
   }
 
-  /** Commits what a quorum has synced, once that includes an entry of this term. */
+  /** Commits the entries that a quorum has synced, once these include an entry of the current term. */
   advanceCommit(): void {
     const index = this.#findQuorumValue(this.#state.syncedIndex, (follower) => follower.matchIndex);
     if (this.#state.log.termAt(index) === this.#state.term) {
       this.#state.advanceCommit(index);
     }
     if (this.#state.hasCommittedInTerm) {
-      this.#state.observeFreshness(this.quorumAt);
+      this.#state.observeFreshness(this.quorumConfirmedAt);
     }
   }
 
-  /** Whether a member has synced nearly all of the log and answered lately. */
+  /** Whether a member has synced all committed entries and this leader's first entry, and has answered recently. */
   isCaughtUp(member: Member): boolean {
     const follower = this.#followers.get(member.storageId);
     return (
@@ -179,11 +179,11 @@
     );
   }
 
-  /** Whether a member has not answered for as long as an election takes. */
+  /** Whether a member has not answered for the shortest election timeout. */
   isSilent(member: Member): boolean {
     const follower = this.#followers.get(member.storageId);
     const silence = this.#state.now - (follower?.acknowledgedAt ?? this.#state.now);
-    return silence >= this.#state.settings.tuning.electionMinimum;
+    return silence >= this.#state.settings.tuning.electionTimeoutMinimum;
   }
 
   #inviteSuccessor(): void {
@@ -210,11 +210,11 @@
     return entries;
   }
 
-  #stamp(): RoundStamp {
-    return { round: this.#round, quorumAge: this.#state.now - this.quorumAt };
+  #createRoundInfo(): RoundInfo {
+    return { round: this.#round, quorumAge: this.#state.now - this.quorumConfirmedAt };
   }
 
-  /** Follows the membership: its members but this host are sent the log. */
+  /** Brings the tracked followers in line with the membership: all members except this host. */
   #updateFollowers(): void {
     const members = listMembers(this.#state.log.membership);
     const storageIds = new Set(members.map((member) => member.storageId));
--- a/src/consensus/core/log.ts
+++ b/src/consensus/core/log.ts
@@ -1,19 +1,19 @@
 import type { LogEntry, LogPosition, Snapshot } from './entry.js';
 import { emptyMembership, type Membership } from './membership.js';
 
-/** A membership and the entry that set it. */
-interface PlacedMembership {
+/** A membership and the index of the entry that set it. */
+interface IndexedMembership {
   readonly index: number;
   readonly membership: Membership;
 }
 
-/** The log in memory: a snapshot, and the entries after a base position at or before the snapshot. */
+/** The in-memory log: the latest snapshot, and the entries after a base position at or before that snapshot. */
 export class ReplicaLog {
   #base: LogPosition = { index: 0, term: 0 };
   #entries: LogEntry[] = [];
   #snapshot: Snapshot | undefined;
-  /** In order; the first one holds at the base. */
-  #memberships: PlacedMembership[] = [{ index: 0, membership: emptyMembership }];
+  /** In log order; the first one is in force at the base. */
+  #memberships: IndexedMembership[] = [{ index: 0, membership: emptyMembership }];
 
   constructor(snapshot: Snapshot | undefined, entries: readonly LogEntry[]) {
     if (snapshot !== undefined) {
@@ -22,12 +22,12 @@
     this.append(entries.filter((entry) => entry.index > this.#base.index));
   }
 
-  /** Newest snapshot; undefined before the first. */
+  /** Latest snapshot; undefined before the first. */
   get snapshot(): Snapshot | undefined {
     return this.#snapshot;
   }
 
-  /** Position before the first entry still held. */
+  /** Position directly before the first entry that is still held. */
   get base(): LogPosition {
     return this.#base;
   }
@@ -36,17 +36,17 @@
     return this.#entries.at(-1) ?? this.#base;
   }
 
-  /** The newest membership, committed or not: it holds from the moment its entry is in the log. */
+  /** The latest membership, committed or not: it is in force as soon as its entry is in the log. */
   get membership(): Membership {
     return this.#newestMembership.membership;
   }
 
-  /** Index of the entry that set the newest membership. */
+  /** Index of the entry that set the latest membership. */
   get membershipIndex(): number {
     return this.#newestMembership.index;
   }
 
-  /** Term of the entry at an index; undefined when it was compacted away or is not there yet. */
+  /** Term of the entry at an index; undefined when it was compacted away or is not in the log yet. */
   termAt(index: number): number | undefined {
     if (index === this.#base.index) {
       return this.#base.term;
@@ -58,7 +58,7 @@
     return this.#entries[index - this.#base.index - 1];
   }
 
-  /** Entries from one index to another, both included. */
+  /** Entries from one index to another, both inclusive. */
   slice(from: number, through: number): readonly LogEntry[] {
     const offset = this.#base.index + 1;
     return this.#entries.slice(Math.max(from - offset, 0), Math.max(through - offset + 1, 0));
@@ -89,16 +89,16 @@
   /** Drops the entries after an index. */
   truncateAfter(index: number): void {
     this.#entries.length = Math.max(index - this.#base.index, 0);
-    this.#memberships = this.#memberships.filter((placed) => placed.index <= index);
+    this.#memberships = this.#memberships.filter((entry) => entry.index <= index);
   }
 
   /** The membership as of an index that is still held. */
   membershipAt(index: number): Membership {
-    const placed = this.#memberships.findLast((candidate) => candidate.index <= index);
-    return placed?.membership ?? emptyMembership;
+    const entry = this.#memberships.findLast((candidate) => candidate.index <= index);
+    return entry?.membership ?? emptyMembership;
   }
 
-  /** Takes a snapshot in place of the entries up to `throughIndex`, which may be earlier than the snapshot. */
+  /** Stores a snapshot and drops the entries up to `throughIndex`, which may be before the snapshot's index. */
   compact(snapshot: Snapshot, throughIndex: number): void {
     this.#snapshot = snapshot;
     const index = Math.min(throughIndex, snapshot.index);
@@ -106,14 +106,14 @@
     if (index <= this.#base.index || term === undefined) {
       return;
     }
-    const held = this.#memberships.findLast((placed) => placed.index <= index);
+    const held = this.#memberships.findLast((entry) => entry.index <= index);
     this.#entries.splice(0, index - this.#base.index);
     this.#base = { index, term };
-    const later = this.#memberships.filter((placed) => placed.index > index);
+    const later = this.#memberships.filter((entry) => entry.index > index);
     this.#memberships = held === undefined ? later : [held, ...later];
   }
 
-  /** Takes another host's snapshot in place of the whole log; entries after it stay only where they follow from it. */
+  /** Replaces the log with a snapshot from another host. Later entries are kept only if this log contains its last entry. */
   install(snapshot: Snapshot): void {
     if (this.termAt(snapshot.index) === snapshot.term) {
       this.compact(snapshot, snapshot.index);
@@ -125,7 +125,7 @@
     this.#memberships = [{ index: snapshot.index, membership: snapshot.membership }];
   }
 
-  get #newestMembership(): PlacedMembership {
+  get #newestMembership(): IndexedMembership {
     return this.#memberships.at(-1) ?? { index: 0, membership: emptyMembership };
   }
 }
--- a/src/consensus/core/membership-changes.ts
+++ b/src/consensus/core/membership-changes.ts
@@ -12,15 +12,15 @@
 } from './membership.js';
 import type { CoreState } from './state.js';
 
-/** A change that is in the log and not committed yet. */
+/** A requested change that is appended to the log and not committed yet. */
 interface PendingChange {
   readonly requestId: number;
   readonly index: number;
 }
 
 /**
- * Changes the members, one voter at a time and one change after the other: two quorums that share no voter could
- * otherwise elect two leaders.
+ * Applies membership changes one at a time, each changing at most one voter. Otherwise the quorums before and after a
+ * change might share no voter and could elect two leaders.
  */
 export class MembershipChanges {
   readonly #state: CoreState;
@@ -33,8 +33,8 @@
   }
 
   request(requestId: number, change: MembershipChange): void {
-    const failure = this.#findObstacle(change);
-    if (failure !== undefined || this.#isInForce(change)) {
+    const failure = this.#validate(change);
+    if (failure !== undefined || this.#isAlreadyApplied(change)) {
       this.#answer(requestId, failure);
       return;
     }
@@ -43,27 +43,28 @@
   }
 
   /**
-   * A data folder told of itself. It is taken in when it is no member and its host is one of the settings: a new control
-   * host, or one that lost its disk. Of two processes with one name, the one that answers stays.
+   * Handles the announcement of a data folder. It is admitted if it is not a member and its host is listed in the
+   * settings: it is a new control host, or one that lost its disk. If another data folder with the same host name is a
+   * member and still answers, that one stays.
    */
   handleGreeting(member: Member): void {
     const { log, settings } = this.#state;
-    const earlier = findMember(log.membership, member.name);
-    const isWanted =
-      settings.peers.includes(member.name) && earlier?.storageId !== member.storageId;
-    const isFree = earlier === undefined || this.#leadership.isSilent(earlier);
+    const existing = findMember(log.membership, member.name);
+    const isExpected =
+      settings.peers.includes(member.name) && existing?.storageId !== member.storageId;
+    const isReplaceable = existing === undefined || this.#leadership.isSilent(existing);
     const change: MembershipChange = { type: 'admit', member };
-    if (isWanted && isFree && this.#findObstacle(change) === undefined) {
+    if (isExpected && isReplaceable && this.#validate(change) === undefined) {
       this.#append(this.#apply(change));
     }
   }
 
-  /** Lets one learner vote that has caught up, and answers the changes that are committed. */
+  /** Promotes one learner that has caught up, and answers the requests whose changes are committed. */
   advance(): void {
     this.#answerCommitted();
     const { membership } = this.#state.log;
     const learner = membership.learners.find((member) => this.#leadership.isCaughtUp(member));
-    if (learner !== undefined && this.#isReady()) {
+    if (learner !== undefined && this.#canChange()) {
       this.#append(promoteLearner(membership, learner));
     }
   }
@@ -76,17 +77,17 @@
     this.#pending = [];
   }
 
-  /** An uncommitted change, or a leader that has committed nothing yet, must be waited for. */
-  #isReady(): boolean {
+  /** Whether the previous change is committed and the leader has committed an entry in its term. */
+  #canChange(): boolean {
     const { log, commitIndex, hasCommittedInTerm } = this.#state;
     return hasCommittedInTerm && log.membershipIndex <= commitIndex;
   }
 
-  #findObstacle(change: MembershipChange): Failure | undefined {
+  #validate(change: MembershipChange): Failure | undefined {
     if (this.#state.role !== 'leader') {
       return createFailure('noQuorum', 'this control host is not the leader', 1000);
     }
-    if (!this.#isReady()) {
+    if (!this.#canChange()) {
       return createFailure('noQuorum', 'another change of the members is not committed yet', 1000);
     }
     if (this.#apply(change).voters.length === 0) {
@@ -95,7 +96,7 @@
     return undefined;
   }
 
-  #isInForce(change: MembershipChange): boolean {
+  #isAlreadyApplied(change: MembershipChange): boolean {
     const { membership } = this.#state.log;
     switch (change.type) {
       case 'admit':
--- a/src/consensus/core/membership.ts
+++ b/src/consensus/core/membership.ts
@@ -1,15 +1,16 @@
-/** Who takes part in the log, and what a quorum of them is. */
+/** The members of the replicated log and their quorum. */
 
-/** Name of a control host, unique by the settings. */
+/** Name of a control host; the settings make it unique. */
 export type NodeName = string;
 
-/** Identity of one data folder: made at random when the folder is created, so a lost disk never has an old one. */
+/** Identity of one data folder, drawn at random when the folder is created, so a replaced disk never reuses an old id. */
 export type StorageId = string;
 
 /**
  * A member is a host *with a certain data folder*.
- * A host that lost its disk forgot its votes and its log; under its old name it could elect a second leader in a term or
- * let committed entries be overwritten. Its new storage id makes it a stranger until a committed change takes it in.
+ * A host that lost its disk has lost its votes and its log. Identified by name alone, it could help to elect a second
+ * leader in a term, or let committed entries be overwritten. Because its storage id is new, it is not a member until a
+ * membership change admits it.
  */
 export interface Member {
   readonly name: NodeName;
@@ -18,21 +19,21 @@
 
 /** The members as of one log entry. */
 export interface Membership {
-  /** Members that vote and whose copies count. */
+  /** Members that vote in elections and count towards the commit quorum. */
   readonly voters: readonly Member[];
-  /** Members that are sent the log and count for nothing until they have caught up. */
+  /** Members that receive the log without a vote until they have caught up. */
   readonly learners: readonly Member[];
 }
 
-/** Before a first start formed, and on a blank disk. */
+/** The membership before the cluster has formed, and of a blank data folder. */
 export const emptyMembership: Membership = { voters: [], learners: [] };
 
-/** Voters needed for a decision. */
+/** Number of voters in a quorum. */
 export function countQuorum(membership: Membership): number {
   return Math.floor(membership.voters.length / 2) + 1;
 }
 
-/** Whether these storage ids hold a quorum; ids of others count for nothing. */
+/** Whether these storage ids include a quorum of the voters; ids of other hosts are ignored. */
 export function isQuorum(membership: Membership, storageIds: ReadonlySet<StorageId>): boolean {
   const voters = membership.voters.filter((voter) => storageIds.has(voter.storageId));
   return voters.length >= countQuorum(membership);
@@ -60,14 +61,14 @@
   return [...membership.voters, ...membership.learners];
 }
 
-/** The member of a name, whichever data folder it has. */
+/** The member with this host name, whatever its data folder. */
 export function findMember(membership: Membership, name: NodeName): Member | undefined {
   return listMembers(membership).find((member) => member.name === name);
 }
 
 /**
- * Takes a data folder in as a learner, and the host's earlier one out.
- * At most one voter changes by it, so that quorums before and after share a voter.
+ * Adds a data folder as a learner and removes the host's earlier one.
+ * This changes at most one voter, so that any quorum before the change shares a voter with any quorum after it.
  */
 export function admitMember(membership: Membership, admitted: Member): Membership {
   const isOther = (member: Member): boolean => member.name !== admitted.name;
@@ -85,7 +86,7 @@
   };
 }
 
-/** Lets a learner vote and count. */
+/** Makes a learner a voter. */
 export function promoteLearner(membership: Membership, learner: Member): Membership {
   const isOther = (member: Member): boolean => member.storageId !== learner.storageId;
   return {
--- a/src/consensus/core/messages.ts
+++ b/src/consensus/core/messages.ts
@@ -2,43 +2,43 @@
 
 import { logEntrySchema, membershipSchema } from './entry.js';
 
-/** Messages between control hosts; JSON text inside a ConsensusEnvelope. */
+/** Messages between control hosts, sent as JSON text inside a ConsensusEnvelope. */
 
-/** On every message. */
+/** Fields of every message. */
 const header = {
-  /** Data folder of the sender. */
+  /** Storage id of the sender. */
   sender: z.string(),
-  /** Data folder that the message is meant for; a host with another one drops it. Absent: any. */
+  /** Storage id of the recipient; a host with another one drops the message. Absent: any recipient. */
   recipient: z.string().optional(),
 };
 
-/** On every answer to a leader: what it was an answer to, and the follower's clock. */
+/** Fields of every answer to a leader: which message it answers, and the follower's clock. */
 const acknowledgement = {
   term: z.int(),
   /** Round of the leader's message. */
   round: z.int(),
   /** The leader's clock when it sent that message. */
   sentAt: z.number(),
-  /** The follower's clock and incarnation, for the leader to send back. */
+  /** The follower's clock and incarnation, for the leader to echo. */
   clock: z.strictObject({ incarnation: z.int(), at: z.number() }).readonly(),
 };
 
-/** On every message of a leader. */
+/** Fields of every message of a leader. */
 const leaderHeader = {
   ...header,
   term: z.int(),
-  /** Counts broadcasts of this leader; a read waits for a round that began after it. */
+  /** Number of this leader's broadcast; a read waits for a round that started after the read was requested. */
   round: z.int(),
   sentAt: z.number(),
-  /** The newest clock reading that the leader had from this follower. */
+  /** Latest clock reading that the leader has received from this follower. */
   echo: z.strictObject({ incarnation: z.int(), at: z.number() }).readonly().optional(),
-  /** How long before sending this the leader knew that it had a quorum. */
+  /** Time between the leader's last confirmed quorum and this message. */
   quorumAge: z.number(),
 };
 
 const candidacy = { ...header, term: z.int(), lastIndex: z.int(), lastTerm: z.int() };
 
-/** Asks whether an election would be won, before any term changes: a host that was cut off then disturbs nobody. */
+/** Asks whether the sender could win an election, before it raises its term, so that a partitioned host disrupts nobody. */
 const preVote = z.strictObject({ type: z.literal('preVote'), ...candidacy }).readonly();
 
 const preVoteAnswer = z
@@ -47,7 +47,7 @@
     ...header,
     /** The voter's own term. */
     term: z.int(),
-    /** The term that the candidate would take. */
+    /** The term of the election that the candidate would start. */
     proposedTerm: z.int(),
     isGranted: z.boolean(),
   })
@@ -57,7 +57,7 @@
   .strictObject({
     type: z.literal('vote'),
     ...candidacy,
-    /** The leader itself asked for this election, so voters that hear it need not refuse. */
+    /** The leader itself asked for this election, so voters grant it even while they hear that leader. */
     isInvited: z.boolean(),
   })
   .readonly();
@@ -71,7 +71,7 @@
   })
   .readonly();
 
-/** Entries after a position, or none: a heartbeat. */
+/** Entries after a position; a heartbeat if there are none. */
 const append = z
   .strictObject({
     type: z.literal('append'),
@@ -88,7 +88,7 @@
     type: z.literal('appendAccepted'),
     ...header,
     ...acknowledgement,
-    /** The follower's synced log equals the leader's up to this index. */
+    /** The follower's synced log matches the leader's up to this index. */
     matchIndex: z.int(),
   })
   .readonly();
@@ -99,12 +99,12 @@
     ...header,
     ...acknowledgement,
     previousIndex: z.int(),
-    /** First index that the follower may lack. */
+    /** First index from which the leader must resend. */
     wantedIndex: z.int(),
   })
   .readonly();
 
-/** A part of a snapshot, for a follower whose next entry was compacted away. */
+/** One chunk of a snapshot, for a follower whose next entry was compacted away. */
 const snapshotChunk = z
   .strictObject({
     type: z.literal('snapshotChunk'),
@@ -112,7 +112,7 @@
     snapshotIndex: z.int(),
     snapshotTerm: z.int(),
     membership: membershipSchema,
-    /** In UTF-16 code units of the state's JSON text. */
+    /** In UTF-16 code units of the snapshot's JSON text. */
     offset: z.int(),
     totalLength: z.int(),
     data: z.string(),
@@ -130,20 +130,20 @@
   })
   .readonly();
 
-/** Tells a leader or candidate of an older term that its time is over. */
+/** Tells a leader of an older term that there is a higher term. */
 const staleTerm = z
   .strictObject({ type: z.literal('staleTerm'), ...header, term: z.int() })
   .readonly();
 
-/** A leader that is about to stop asks a follower with the whole log to take its place at once. */
+/** A leader that is about to stop asks a follower with the whole log to start an election at once. */
 const electionInvitation = z
   .strictObject({ type: z.literal('electionInvitation'), ...header, term: z.int() })
   .readonly();
 
-/** A data folder that is no member tells of itself, so that a leader may take it in. */
+/** A host that is not a member or hears no leader announces its data folder, so that a leader can admit it. */
 const greeting = z.strictObject({ type: z.literal('greeting'), ...header }).readonly();
 
-/** The coordinator of a first start asks whether a host is blank. */
+/** The coordinator of the cluster formation asks whether a host's data folder is blank. */
 const formationInquiry = z
   .strictObject({ type: z.literal('formationInquiry'), ...header, nonce: z.int() })
   .readonly();
@@ -152,7 +152,7 @@
   .strictObject({ type: z.literal('formationBlank'), ...header, nonce: z.int() })
   .readonly();
 
-/** Once every host has said that it is blank: asks for the promise to take part. */
+/** Sent once every host has confirmed that it is blank: asks for the promise to join this cluster formation. */
 const formationQuestion = z
   .strictObject({
     type: z.literal('formationQuestion'),
@@ -162,7 +162,7 @@
   })
   .readonly();
 
-/** Synced before it is sent: this data folder takes part in no other first start. */
+/** Synced before it is sent: this data folder will join no other cluster formation. */
 const formationPromise = z
   .strictObject({ type: z.literal('formationPromise'), ...header, nonce: z.int() })
   .readonly();
@@ -209,10 +209,10 @@
 export type AcknowledgementMessage =
   AppendAcceptedMessage | AppendRejectedMessage | SnapshotProgressMessage;
 
-/** A reading of a follower's clock; readings of another incarnation cannot be compared. */
+/** A reading of a follower's clock; comparable only with readings of the same incarnation. */
 export type FollowerClock = AcknowledgementMessage['clock'];
 
-/** Reads a message from another host; undefined when this version does not know it. */
+/** Parses a message from another host; undefined when this version does not know its format. */
 export function parseMessage(text: string): ConsensusMessage | undefined {
   try {
     return consensusMessageSchema.safeParse(JSON.parse(text)).data;
--- a/src/consensus/core/outbox.ts
+++ b/src/consensus/core/outbox.ts
@@ -2,7 +2,7 @@
 import type { NodeName } from './membership.js';
 import type { ConsensusMessage } from './messages.js';
 
-/** A message that waits for the disk. */
+/** A message that waits for a write to be synced. */
 interface HeldMessage {
   readonly afterWrite: number;
   readonly to: NodeName;
@@ -10,9 +10,9 @@
 }
 
 /**
- * Collects the effects of one event, and holds answers back until what they promise is synced.
- * An answer sent earlier could be forgotten by a crash: the same host would then vote twice in a term, or an entry that
- * the leader counted would be gone.
+ * Collects the effects of one event, and holds answers back until the writes that they depend on are synced.
+ * If an answer were sent earlier, a crash could lose the state behind it: the host could then vote twice in a term, or
+ * lose an entry that the leader has counted as synced.
  */
 export class Outbox {
   #effects: ConsensusEffect[] = [];
@@ -20,7 +20,7 @@
   #lastWrite = 0;
   #syncedWrite = 0;
 
-  /** Number of the newest write. */
+  /** Number of the latest write. */
   get lastWrite(): number {
     return this.#lastWrite;
   }
@@ -35,7 +35,7 @@
     return this.#lastWrite;
   }
 
-  /** For messages that promise nothing about this disk. */
+  /** Sends at once. For messages that do not depend on anything written to this host's disk. */
   send(to: NodeName, message: ConsensusMessage): void {
     this.emit({ type: 'send', to, message });
   }
@@ -62,7 +62,7 @@
     }
   }
 
-  take(): readonly ConsensusEffect[] {
+  drain(): readonly ConsensusEffect[] {
     const effects = this.#effects;
     this.#effects = [];
     return effects;
--- a/src/consensus/core/progress.ts
+++ b/src/consensus/core/progress.ts
@@ -3,7 +3,7 @@
 import type { Member } from './membership.js';
 import type { AcknowledgementMessage, FollowerClock } from './messages.js';
 
-/** A snapshot on its way to a follower, one chunk at a time. */
+/** A snapshot that is being sent to a follower, one chunk at a time. */
 export interface SnapshotTransfer {
   readonly snapshot: Snapshot;
   readonly offset: number;
@@ -11,16 +11,16 @@
 }
 
 /**
- * How a follower is sent the log.
- * `probing`: one message at a time, until the follower's log is known; `streaming`: ahead of its answers;
- * `snapshot`: what it needs was compacted away.
+ * How the log is sent to a follower.
+ * `probing`: one message at a time, until the position of the follower's log is known; `streaming`: pipelined, without
+ * waiting for answers; `snapshot`: the entries that it needs were compacted away, so it is sent a snapshot.
  */
 export type ReplicationMode =
   | { readonly type: 'probing'; readonly isOutstanding: boolean }
   | { readonly type: 'streaming' }
   | { readonly type: 'snapshot'; readonly transfer: SnapshotTransfer };
 
-/** What a leader knows of one follower. */
+/** The replication progress of one follower, as known to the leader. */
 export class FollowerProgress {
   readonly member: Member;
   mode: ReplicationMode = { type: 'probing', isOutstanding: false };
@@ -36,22 +36,22 @@
     this.#acknowledgedAt = now;
   }
 
-  /** Last entry that the follower has synced. */
+  /** Index of the last entry that the follower is known to have synced. */
   get matchIndex(): number {
     return this.#matchIndex;
   }
 
-  /** Newest round that the follower answered. */
+  /** Latest round that the follower has acknowledged. */
   get round(): number {
     return this.#round;
   }
 
-  /** The leader's clock when it sent the newest message that the follower answered. */
+  /** The leader's clock when it sent the latest message that the follower has acknowledged. */
   get acknowledgedAt(): Milliseconds {
     return this.#acknowledgedAt;
   }
 
-  /** Newest reading of the follower's clock. */
+  /** Latest reading of the follower's clock. */
   get clock(): FollowerClock | undefined {
     return this.#clock;
   }
--- a/src/consensus/core/proposals.ts
+++ b/src/consensus/core/proposals.ts
@@ -2,13 +2,13 @@
 import type { ConsensusEffect } from './events.js';
 import type { LogEntry } from './entry.js';
 
-/** A proposal that is in this leader's log and not committed yet. */
+/** A proposal that is appended to this leader's log and not committed yet. */
 interface PendingProposal {
   readonly term: number;
   readonly proposalId: number;
 }
 
-/** Knows which entries of the log answer a proposal made here. */
+/** Maps log entries to the pending proposals of this host. */
 export class PendingProposals {
   readonly #byIndex = new Map<number, PendingProposal>();
 
@@ -20,7 +20,7 @@
     this.#byIndex.set(entry.index, { term: entry.term, proposalId });
   }
 
-  /** The proposal that a committed entry answers; an entry of another term at its index is not it. */
+  /** Removes and returns the proposal of a committed entry; undefined when the entry at its index has another term. */
   take(entry: LogEntry): number | undefined {
     const pending = this.#byIndex.get(entry.index);
     if (pending?.term !== entry.term) {
@@ -30,7 +30,7 @@
     return pending.proposalId;
   }
 
-  /** A later leader may commit these entries or overwrite them: nobody here can tell. */
+  /** Fails all proposals as uncertain: a later leader may commit or overwrite their entries. */
   failAll(): readonly ConsensusEffect[] {
     const effects = [...this.#byIndex.values()].map(({ proposalId }): ConsensusEffect => ({
       type: 'proposalFailed',
--- a/src/consensus/core/reads.ts
+++ b/src/consensus/core/reads.ts
@@ -2,7 +2,7 @@
 import type { Leadership } from './leadership.js';
 import type { CoreState } from './state.js';
 
-/** A read that waits until its index is known not to be stale. */
+/** A read that waits until a quorum has confirmed the leader and its index is committed. */
 interface PendingRead {
   readonly readId: number;
   readonly index: number;
@@ -10,8 +10,9 @@
 }
 
 /**
- * Reads that cannot be stale: the leader's commit index as of the request, confirmed by a round of the quorum that began
- * after it. A leader that was replaced without noticing gets no such round.
+ * Linearizable reads (Raft's read index): the leader's commit index at the time of the request, confirmed by a round
+ * that started after the request and that a quorum acknowledged. A leader that was replaced without noticing gets no
+ * such acknowledgement.
  */
 export class Reads {
   readonly #state: CoreState;
@@ -33,7 +34,7 @@
     this.confirm();
   }
 
-  /** Answers the reads whose round a quorum has answered. */
+  /** Confirms the reads whose round a quorum has acknowledged and whose index is committed. */
   confirm(): void {
     if (this.#pending.length === 0) {
       return;
--- a/src/consensus/core/replication.ts
+++ b/src/consensus/core/replication.ts
@@ -10,13 +10,13 @@
 import type { FollowerProgress } from './progress.js';
 import type { CoreState } from './state.js';
 
-/** What every message of a leader says of its round. */
-export interface RoundStamp {
+/** Fields about the current round that every message of a leader carries. */
+export interface RoundInfo {
   readonly round: number;
   readonly quorumAge: Milliseconds;
 }
 
-/** Brings one follower's log to the leader's. */
+/** Replicates the leader's log to its followers. */
 export class Replication {
   readonly #state: CoreState;
 
@@ -24,44 +24,44 @@
     this.#state = state;
   }
 
-  /** Sends something in any case, so that the follower hears the leader and answers this round. */
-  sendHeartbeat(follower: FollowerProgress, stamp: RoundStamp): void {
+  /** Always sends a message, so that the follower hears the leader and acknowledges this round. */
+  sendHeartbeat(follower: FollowerProgress, roundInfo: RoundInfo): void {
     switch (follower.mode.type) {
       case 'probing':
-        this.#probe(follower, stamp);
+        this.#probe(follower, roundInfo);
         return;
       case 'streaming':
-        this.#stream(follower, stamp, this.#takeBatch(follower));
+        this.#stream(follower, roundInfo, this.#nextBatch(follower));
         return;
       case 'snapshot':
-        this.#sendBareHeartbeat(follower, stamp);
-        this.#resendChunk(follower, stamp);
+        this.#sendEmptyAppend(follower, roundInfo);
+        this.#resendChunk(follower, roundInfo);
         return;
     }
   }
 
-  /** Sends the entries that the follower lacks, as far as its window allows. */
-  sendEntries(follower: FollowerProgress, stamp: RoundStamp): void {
+  /** Sends the entries that the follower lacks, within its window. */
+  sendEntries(follower: FollowerProgress, roundInfo: RoundInfo): void {
     if (follower.mode.type === 'probing' && !follower.mode.isOutstanding) {
-      this.#probe(follower, stamp);
+      this.#probe(follower, roundInfo);
       return;
     }
     if (follower.mode.type !== 'streaming') {
       return;
     }
     for (
-      let batch = this.#takeBatch(follower);
+      let batch = this.#nextBatch(follower);
       batch.length > 0;
-      batch = this.#takeBatch(follower)
+      batch = this.#nextBatch(follower)
     ) {
-      this.#stream(follower, stamp, batch);
+      this.#stream(follower, roundInfo, batch);
     }
   }
 
   handleAccepted(
     follower: FollowerProgress,
     message: AppendAcceptedMessage,
-    stamp: RoundStamp,
+    roundInfo: RoundInfo,
   ): void {
     const { mode } = follower;
     if (mode.type === 'snapshot' && message.matchIndex < mode.transfer.snapshot.index) {
@@ -69,14 +69,14 @@
     }
     follower.advanceMatch(message.matchIndex);
     follower.mode = { type: 'streaming' };
-    this.sendEntries(follower, stamp);
+    this.sendEntries(follower, roundInfo);
   }
 
-  /** A rejection of anything but the newest probe is late and would only make the leader send twice. */
+  /** Handles a rejection. One that is not for the latest probe is outdated, and would only cause a duplicate send. */
   handleRejected(
     follower: FollowerProgress,
     message: AppendRejectedMessage,
-    stamp: RoundStamp,
+    roundInfo: RoundInfo,
   ): void {
     const { mode } = follower;
     const isProbeAnswer = message.previousIndex === follower.nextIndex - 1;
@@ -86,13 +86,13 @@
     }
     const wantedIndex = Math.min(message.wantedIndex, message.previousIndex);
     follower.nextIndex = Math.max(wantedIndex, follower.matchIndex + 1);
-    this.#probe(follower, stamp);
+    this.#probe(follower, roundInfo);
   }
 
   handleSnapshotProgress(
     follower: FollowerProgress,
     message: SnapshotProgressMessage,
-    stamp: RoundStamp,
+    roundInfo: RoundInfo,
   ): void {
     const { mode } = follower;
     if (mode.type !== 'snapshot' || mode.transfer.snapshot.index !== message.snapshotIndex) {
@@ -101,53 +101,53 @@
     if (message.wantedOffset === mode.transfer.offset) {
       return;
     }
-    this.#sendChunk(follower, stamp, message.wantedOffset);
+    this.#sendChunk(follower, roundInfo, message.wantedOffset);
   }
 
   #needsSnapshot(follower: FollowerProgress): boolean {
     return this.#state.log.termAt(follower.nextIndex - 1) === undefined;
   }
 
-  #stream(follower: FollowerProgress, stamp: RoundStamp, batch: readonly LogEntry[]): void {
+  #stream(follower: FollowerProgress, roundInfo: RoundInfo, batch: readonly LogEntry[]): void {
     if (this.#needsSnapshot(follower)) {
-      this.#startSnapshot(follower, stamp);
+      this.#startSnapshot(follower, roundInfo);
       return;
     }
-    this.#sendAppend(follower, stamp, batch);
+    this.#sendAppend(follower, roundInfo, batch);
     follower.nextIndex += batch.length;
   }
 
-  #probe(follower: FollowerProgress, stamp: RoundStamp): void {
+  #probe(follower: FollowerProgress, roundInfo: RoundInfo): void {
     if (this.#needsSnapshot(follower)) {
-      this.#startSnapshot(follower, stamp);
+      this.#startSnapshot(follower, roundInfo);
       return;
     }
     follower.mode = { type: 'probing', isOutstanding: true };
-    this.#sendAppend(follower, stamp, this.#takeBatch(follower));
+    this.#sendAppend(follower, roundInfo, this.#nextBatch(follower));
   }
 
-  #startSnapshot(follower: FollowerProgress, stamp: RoundStamp): void {
+  #startSnapshot(follower: FollowerProgress, roundInfo: RoundInfo): void {
     const { snapshot } = this.#state.log;
     if (snapshot === undefined) {
       return;
     }
     const transfer = { snapshot, offset: 0, sentAt: this.#state.now };
     follower.mode = { type: 'snapshot', transfer };
-    this.#sendChunk(follower, stamp, 0);
+    this.#sendChunk(follower, roundInfo, 0);
   }
 
-  #resendChunk(follower: FollowerProgress, stamp: RoundStamp): void {
+  #resendChunk(follower: FollowerProgress, roundInfo: RoundInfo): void {
     if (follower.mode.type !== 'snapshot') {
       return;
     }
     const { transfer } = follower.mode;
     const silence = this.#state.now - transfer.sentAt;
     if (silence >= this.#state.settings.tuning.heartbeat * 2) {
-      this.#sendChunk(follower, stamp, transfer.offset);
+      this.#sendChunk(follower, roundInfo, transfer.offset);
     }
   }
 
-  #sendChunk(follower: FollowerProgress, stamp: RoundStamp, offset: number): void {
+  #sendChunk(follower: FollowerProgress, roundInfo: RoundInfo, offset: number): void {
     if (follower.mode.type !== 'snapshot') {
       return;
     }
@@ -159,7 +159,7 @@
     };
     this.#state.outbox.send(follower.member.name, {
       type: 'snapshotChunk',
-      ...this.#describe(follower, stamp),
+      ...this.#createLeaderHeader(follower, roundInfo),
       snapshotIndex: snapshot.index,
       snapshotTerm: snapshot.term,
       membership: snapshot.membership,
@@ -169,11 +169,11 @@
     });
   }
 
-  /** Says that the leader is there, and nothing about the log. */
-  #sendBareHeartbeat(follower: FollowerProgress, stamp: RoundStamp): void {
+  /** Sends a heartbeat without entries and without information about the log. */
+  #sendEmptyAppend(follower: FollowerProgress, roundInfo: RoundInfo): void {
     this.#state.outbox.send(follower.member.name, {
       type: 'append',
-      ...this.#describe(follower, stamp),
+      ...this.#createLeaderHeader(follower, roundInfo),
       previousIndex: 0,
       previousTerm: 0,
       entries: [],
@@ -181,11 +181,15 @@
     });
   }
 
-  #sendAppend(follower: FollowerProgress, stamp: RoundStamp, entries: readonly LogEntry[]): void {
+  #sendAppend(
+    follower: FollowerProgress,
+    roundInfo: RoundInfo,
+    entries: readonly LogEntry[],
+  ): void {
     const previousIndex = follower.nextIndex - 1;
     const message: AppendMessage = {
       type: 'append',
-      ...this.#describe(follower, stamp),
+      ...this.#createLeaderHeader(follower, roundInfo),
       previousIndex,
       previousTerm: this.#state.log.termAt(previousIndex) ?? 0,
       entries,
@@ -194,8 +198,8 @@
     this.#state.outbox.send(follower.member.name, message);
   }
 
-  /** Entries for the next message; none when the follower has them all, waits, or needs a snapshot. */
-  #takeBatch(follower: FollowerProgress): readonly LogEntry[] {
+  /** Entries for the next message; empty if the follower has them all, its window is full, or it needs a snapshot. */
+  #nextBatch(follower: FollowerProgress): readonly LogEntry[] {
     if (this.#needsSnapshot(follower)) {
       return [];
     }
@@ -213,17 +217,20 @@
     return tooMany === -1 ? entries : entries.slice(0, tooMany);
   }
 
-  #describe(follower: FollowerProgress, stamp: RoundStamp): Omit<LeaderMessage, 'type'> {
+  #createLeaderHeader(
+    follower: FollowerProgress,
+    roundInfo: RoundInfo,
+  ): Omit<LeaderMessage, 'type'> {
     const { self, term, now } = this.#state;
     const header = {
       sender: self.storageId,
       recipient: follower.member.storageId,
       term,
-      round: stamp.round,
+      round: roundInfo.round,
       sentAt: now,
-      quorumAge: stamp.quorumAge,
+      quorumAge: roundInfo.quorumAge,
     };
-    // Before its first commit a leader may not know of the newest commits, and cannot vouch that a follower does.
+    // Before its first commit a leader may not know the latest commits, so it cannot tell whether a follower is up to date.
     const isInformed = this.#state.hasCommittedInTerm;
     return follower.clock !== undefined && isInformed
       ? { ...header, echo: follower.clock }
--- a/src/consensus/core/role.ts
+++ b/src/consensus/core/role.ts
@@ -1,16 +1,16 @@
 import { initialTransition, setup, transition, type SnapshotFrom } from 'xstate';
 
-/** The roles of a control host, as a state machine. */
+/** The role of a control host, as a state machine. */
 
 export type Role = 'follower' | 'preCandidate' | 'candidate' | 'leader';
 
 export type RoleEvent =
   | { readonly type: 'electionTimeout' }
-  /** The leader asked this host to take its place. */
+  /** The leader asked this host to succeed it. */
   | { readonly type: 'invited' }
   | { readonly type: 'preVoteWon' }
   | { readonly type: 'voteWon' }
-  /** A leader or a voter of this or a higher term was heard. */
+  /** A message of a leader of this term, or of any host with a higher term, was received. */
   | { readonly type: 'superseded' }
   | { readonly type: 'quorumLost' }
   | { readonly type: 'removed' };
@@ -35,8 +35,8 @@
   },
 });
 
-/** Holds the role and steps it by the machine's pure transition function. */
-export class RoleKeeper {
+/** Holds the current role; each step uses the state machine's pure transition function. */
+export class RoleStateMachine {
   #snapshot: SnapshotFrom<typeof roleMachine> = initialTransition(roleMachine)[0];
 
   get role(): Role {
--- a/src/consensus/core/settings.ts
+++ b/src/consensus/core/settings.ts
@@ -1,36 +1,37 @@
 import type { Milliseconds, RandomSource } from '../../common/index.js';
 import type { NodeName } from './membership.js';
 
-/** Times and sizes of the core. */
+/** Timeouts and size limits of the core. */
 export interface CoreTuning {
-  /** Longest silence of a leader towards a follower. */
+  /** Longest time between two messages of a leader to a follower. */
   readonly heartbeat: Milliseconds;
-  /** A follower waits between these two for a leader before it asks for votes; chosen anew each time. */
-  readonly electionMinimum: Milliseconds;
-  readonly electionMaximum: Milliseconds;
-  /** Part of that wait for a host that has heard no leader since it started; 1 for the whole of it. */
-  readonly firstElectionShare: number;
-  /** Limits of one message. */
+  /** Bounds of the election timeout; each timeout is drawn at random between the two. */
+  readonly electionTimeoutMinimum: Milliseconds;
+  readonly electionTimeoutMaximum: Milliseconds;
+  /** Factor on the election timeout of a host that has heard no leader since it started; 1 for the full timeout. */
+  readonly firstElectionTimeoutFraction: number;
+  /** Limits of the entries in one message. */
   readonly batchEntries: number;
   readonly batchCharacters: number;
-  /** Entries sent ahead of a follower's answers. */
+  /** Entries that may be sent to a follower before it acknowledges them. */
   readonly windowEntries: number;
   readonly snapshotChunkCharacters: number;
-  /** Entries kept before a snapshot, for followers that are a little behind. */
+  /** Entries kept before a snapshot, so that followers slightly behind need no snapshot. */
   readonly retainedEntries: number;
-  /** Proposals waiting for their commit; more are refused at once. */
+  /** Limit of uncommitted proposals; further ones are refused at once. */
   readonly pendingProposals: number;
 }
 
 /**
- * Four heartbeats fit into the shortest election wait, so that a lost message starts no election.
- * An idle leader then sends and receives some 2 KB/s, and a lost one is replaced within about two seconds.
+ * The shortest election timeout spans four heartbeats, so that a lost message does not start an election.
+ * With these values an idle leader sends and receives about 2 KB/s, and a failed leader is replaced within about two
+ * seconds.
  */
 export const defaultTuning: CoreTuning = {
   heartbeat: 250,
-  electionMinimum: 1000,
-  electionMaximum: 2000,
-  firstElectionShare: 1,
+  electionTimeoutMinimum: 1000,
+  electionTimeoutMaximum: 2000,
+  firstElectionTimeoutFraction: 1,
   batchEntries: 256,
   batchCharacters: 256 * 1024,
   windowEntries: 2048,
@@ -39,7 +40,7 @@
   pendingProposals: 4096,
 };
 
-/** What a core is made from, besides its data folder. */
+/** Inputs of a core besides the contents of its data folder. */
 export interface CoreSettings {
   readonly name: NodeName;
   /** The other control hosts. */
--- a/src/consensus/core/snapshot-assembly.ts
+++ b/src/consensus/core/snapshot-assembly.ts
@@ -1,7 +1,7 @@
 import type { Snapshot } from './entry.js';
 import type { SnapshotChunkMessage } from './messages.js';
 
-/** Puts the chunks of one leader's snapshot together; two leaders may write the same state differently. */
+/** Reassembles a snapshot from the chunks of one leader; two leaders may serialize the same state differently. */
 export class SnapshotAssembly {
   readonly #first: SnapshotChunkMessage;
   readonly #parts: string[] = [];
@@ -15,11 +15,11 @@
     return this.#length;
   }
 
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.#length === this.#first.totalLength;
   }
 
-  isOf(message: SnapshotChunkMessage): boolean {
+  matches(message: SnapshotChunkMessage): boolean {
     return (
       this.#first.term === message.term &&
       this.#first.snapshotIndex === message.snapshotIndex &&
@@ -27,7 +27,7 @@
     );
   }
 
-  /** Adds the next chunk; any other is left out, and the leader is told which one is wanted. */
+  /** Adds the next chunk. Any other chunk is ignored; the answer tells the leader the wanted offset. */
   add(message: SnapshotChunkMessage): void {
     if (message.offset !== this.#length) {
       return;
--- a/src/consensus/core/state.ts
+++ b/src/consensus/core/state.ts
@@ -6,25 +6,25 @@
 import type { Member, StorageId } from './membership.js';
 import { Outbox } from './outbox.js';
 import { PendingProposals } from './proposals.js';
-import { RoleKeeper, type Role, type RoleEvent } from './role.js';
+import { RoleStateMachine, type Role, type RoleEvent } from './role.js';
 import type { CoreSettings } from './settings.js';
 
-/** A write of log entries that is on its way to the disk. */
+/** A write of log entries that is not synced yet. */
 interface LogWrite {
   readonly write: number;
   readonly lastIndex: number;
 }
 
-/** The blackboard of the core: what its controllers share. */
+/** State shared by the components of the core. */
 export class CoreState {
   readonly settings: CoreSettings;
   readonly self: Member;
   readonly log: ReplicaLog;
   readonly outbox = new Outbox();
   readonly proposals = new PendingProposals();
-  /** Tells readings of this process's clock from those before its restart. */
+  /** Random id of this process, to tell its clock readings from those of an earlier process. */
   readonly incarnation: number;
-  readonly #role = new RoleKeeper();
+  readonly #role = new RoleStateMachine();
   #now: Milliseconds = 0;
   #term: number;
   #votedFor: StorageId | undefined;
@@ -71,27 +71,27 @@
     return this.#commitIndex;
   }
 
-  /** Last entry that is synced here. */
+  /** Index of the last entry that is synced on this host. */
   get syncedIndex(): number {
     return this.#syncedIndex;
   }
 
-  /** The host that leads this term, as far as known here. */
+  /** The leader of the current term, if this host knows it. */
   get leader(): Member | undefined {
     return this.#leader;
   }
 
-  /** Last moment at which this host is known to have been up to date. */
+  /** Latest time at which this host is known to have been up to date. */
   get freshAt(): Milliseconds {
     return this.#freshAt;
   }
 
-  /** Whether this data folder has never taken part in a log. */
+  /** Whether this data folder has never been part of a log. */
   get isBlank(): boolean {
     return this.#term === 0 && this.log.last.index === 0;
   }
 
-  /** Whether an entry of this leader's term is committed; only then it knows all that is committed. */
+  /** Whether an entry of the current term is committed. Only then does a leader know the full commit index. */
   get hasCommittedInTerm(): boolean {
     return this.log.termAt(this.#commitIndex) === this.#term;
   }
@@ -122,7 +122,7 @@
     this.#role.step(event);
   }
 
-  /** Takes a term and the vote in it; answers wait until both are synced. */
+  /** Persists the term and the vote in it; answers are held back until both are synced. */
   saveHardState(term: number, votedFor: StorageId | undefined): void {
     if (term > this.#term) {
       this.#leader = undefined;
@@ -138,7 +138,7 @@
     this.outbox.persist({ type: 'promise', promisedTo });
   }
 
-  /** Drops the entries after `keepThrough` and adds these. */
+  /** Truncates the log after `keepThrough` and appends the entries. */
   saveEntries(keepThrough: number, entries: readonly LogEntry[]): void {
     if (keepThrough < this.#commitIndex) {
       throw new Error(`entry ${keepThrough + 1} is committed and cannot be replaced`);
@@ -149,7 +149,7 @@
     this.#logWrites.push({ write, lastIndex: this.log.last.index });
   }
 
-  /** Takes another host's snapshot in place of the log up to it. */
+  /** Replaces the log up to the snapshot's index with a snapshot from another host. */
   installSnapshot(snapshot: Snapshot): void {
     const discardsLog = this.log.termAt(snapshot.index) !== snapshot.term;
     this.log.install(snapshot);
@@ -161,7 +161,7 @@
     this.outbox.emit({ type: 'restore', snapshot });
   }
 
-  /** Takes a snapshot of this host's own state machine. */
+  /** Stores a snapshot of this host's own state machine and compacts the log. */
   compact(index: number, data: string): void {
     const term = this.log.termAt(index);
     const newestIndex = this.log.snapshot?.index ?? 0;
@@ -174,7 +174,7 @@
     this.outbox.persist({ type: 'snapshot', snapshot, compactThrough, discardsLog: false });
   }
 
-  /** Notes a finished sync. */
+  /** Records that all writes up to `write` are synced. */
   markSynced(write: number): void {
     const synced = this.#logWrites.filter((logWrite) => logWrite.write <= write);
     this.#syncedIndex = synced.at(-1)?.lastIndex ?? this.#syncedIndex;
@@ -182,7 +182,7 @@
     this.outbox.markSynced(write);
   }
 
-  /** Hands newly committed entries to the state machine. */
+  /** Advances the commit index and applies the newly committed entries to the state machine. */
   advanceCommit(index: number): void {
     const through = Math.min(index, this.log.last.index);
     if (through <= this.#commitIndex) {
--- a/src/consensus/create-consensus-node.ts
+++ b/src/consensus/create-consensus-node.ts
@@ -15,29 +15,30 @@
 import type { StateMachine } from './replicated-log.js';
 import { StreamTransport, type ConsensusPeer } from './stream-transport.js';
 
-/** Applied entries between two snapshots: a restart replays at most these, and a snapshot's cost is shared by them. */
+/** Applied entries between two snapshots. A restart replays at most this many, and they share the cost of a snapshot. */
 export const defaultSnapshotInterval = 1000;
 
 /**
- * Part of the election wait after a start: a message between control hosts and a synced vote take some ten milliseconds, and two
- * of them seldom ask at the same moment.
+ * Factor on the election timeout of a host that has heard no leader since it started. A message between control hosts
+ * and a synced vote take about ten milliseconds, so two hosts rarely start an election at the same time even with the
+ * shorter timeout.
  */
-const firstElectionShare = 0.3;
+const firstElectionTimeoutFraction = 0.3;
 
-/** Options of a control host's log on its own disk and over the network. */
+/** Options of a control host's replicated log with a local disk and a network transport. */
 export interface CreateConsensusNodeOptions<Answer> {
   readonly name: NodeName;
   /** The other control hosts. */
   readonly peers: readonly ConsensusPeer[];
-  /** Address of a control host that is taken in later; undefined where it cannot be told. */
+  /** Looks up the address of a control host admitted later, which is not among the peers; undefined if unknown. */
   readonly findAddress?: ((name: NodeName) => string | undefined) | undefined;
   readonly dataFolder: string;
   readonly machine: StateMachine<Answer>;
   readonly heartbeat: Milliseconds;
-  /** Shortest silence of a leader before an election; the longest is twice that. */
+  /** Shortest election timeout; the longest is twice as long. */
   readonly election: Milliseconds;
   readonly snapshotInterval: number;
-  /** Longest wait for a commit before the submitter is told that it is uncertain. */
+  /** Longest wait for a commit; then the submitter is answered `changeUncertain`. */
   readonly commitLimit: Milliseconds;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -60,7 +61,7 @@
     self: name,
     peers,
     findAddress: options.findAddress,
-    silenceLimit: election,
+    connectionTimeout: election,
     clock,
     random,
   });
@@ -72,9 +73,9 @@
     tuning: {
       ...defaultTuning,
       heartbeat,
-      electionMinimum: election,
-      electionMaximum: election * 2,
-      firstElectionShare,
+      electionTimeoutMinimum: election,
+      electionTimeoutMaximum: election * 2,
+      firstElectionTimeoutFraction,
     },
   });
 }
--- a/src/consensus/peer-stream.ts
+++ b/src/consensus/peer-stream.ts
@@ -13,12 +13,12 @@
 import { MessageQueue } from '../wire/index.js';
 import { formatMessage, type ConsensusMessage, type NodeName } from './core/index.js';
 
-/** Messages waiting for a peer that reads slowly; past it the stream ends and the core sends anew. */
+/** Messages queued for a peer that reads slowly. When the queue overflows the stream ends, and the core resends. */
 const queueCapacity = 2000;
 const shortestBackOff: Milliseconds = 50;
 const longestBackOff: Milliseconds = 1000;
-/** A stream that lasted this long was a good one; the next failure waits for the shortest time again. */
-const goodStreamDuration: Milliseconds = 5000;
+/** A stream that lasted this long resets the back-off. */
+const stableStreamDuration: Milliseconds = 5000;
 
 /** Options of a stream to one peer. */
 export interface PeerStreamOptions {
@@ -27,15 +27,15 @@
   /** `ip:port`. */
   readonly address: string;
   /**
-   * Longest wait for a connection and for the answer to a ping. Something between two hosts can lose track of an open
-   * connection; it is then silent without an error, while a new one works.
+   * Timeout for connecting and for the answer to a ping. A device between two hosts can lose the state of an open
+   * connection; it then goes silent without an error, while a new connection works.
    */
-  readonly silenceLimit: Milliseconds;
+  readonly connectionTimeout: Milliseconds;
   readonly clock: Clock;
   readonly random: RandomSource;
 }
 
-/** The stream of messages to one peer; connects again, each time later, until it is closed. */
+/** The stream of messages to one peer; reconnects with exponential back-off until it is closed. */
 export class PeerStream {
   readonly #options: PeerStreamOptions;
   readonly #closing = new AbortController();
@@ -68,19 +68,19 @@
     while (!this.#closing.signal.aborted) {
       const startedAt = clock.monotonic();
       await this.#exchange();
-      const wasGood = clock.monotonic() - startedAt >= goodStreamDuration;
-      failures = wasGood ? 0 : failures + 1;
+      const wasStable = clock.monotonic() - startedAt >= stableStreamDuration;
+      failures = wasStable ? 0 : failures + 1;
       await this.#backOff(failures);
     }
   }
 
   async #exchange(): Promise<void> {
-    const { address, silenceLimit } = this.#options;
+    const { address, connectionTimeout } = this.#options;
     const baseUrl = `http://${address}`;
     const sessionManager = new Http2SessionManager(baseUrl, {
-      pingIntervalMs: silenceLimit,
-      pingTimeoutMs: silenceLimit,
-      idleConnectionTimeoutMs: silenceLimit,
+      pingIntervalMs: connectionTimeout,
+      pingTimeoutMs: connectionTimeout,
+      idleConnectionTimeoutMs: connectionTimeout,
     });
     const queue = new MessageQueue<ConsensusEnvelope>(queueCapacity);
     try {
@@ -92,32 +92,32 @@
       const { signal } = this.#closing;
       await createClient(ConsensusService, transport).exchange(queue, { signal });
     } catch {
-      // Whatever ended the stream, the next one begins after the back-off.
+      // Whatever ended the stream, the next one starts after the back-off.
     } finally {
       this.#queue = undefined;
       queue.close();
     }
   }
 
-  /** An attempt to connect to a host that is cut off would last for minutes, and go on after the cut has healed. */
+  /** Connects with a timeout: an attempt to reach a partitioned host would last for minutes, even past the partition's end. */
   async #connect(sessionManager: Http2SessionManager): Promise<boolean> {
-    const { silenceLimit } = this.#options;
+    const { connectionTimeout } = this.#options;
     const timer = new AbortController();
-    const timeout = sleep(silenceLimit, 'error' as const, { signal: timer.signal });
+    const timeout = sleep(connectionTimeout, 'error' as const, { signal: timer.signal });
     timeout.catch(() => undefined);
     const state = await Promise.race([sessionManager.connect(), timeout]);
     timer.abort();
     if (sessionManager.state() === 'connecting') {
-      // An open session is never aborted here: one that a failed ping is just ending has lost the listener for its error
-      // by then, and that error would end the process. Without streams it closes itself.
+      // An open session is never aborted here. If a failed ping is just closing it, its error listener is already removed,
+      // and the error would crash the process. A session without streams closes by itself.
       sessionManager.abort();
     }
     return state !== 'error' && !this.#closing.signal.aborted;
   }
 
   async #backOff(failures: number): Promise<void> {
-    const longest = Math.min(shortestBackOff * 2 ** failures, longestBackOff);
-    const wait = longest * (0.5 + this.#options.random.fraction() / 2);
+    const maximumWait = Math.min(shortestBackOff * 2 ** failures, longestBackOff);
+    const wait = maximumWait * (0.5 + this.#options.random.fraction() / 2);
     try {
       await sleep(wait, undefined, { signal: this.#closing.signal });
     } catch {
--- a/src/consensus/pending-calls.ts
+++ b/src/consensus/pending-calls.ts
@@ -3,13 +3,13 @@
 import type { Failure, Milliseconds } from '../common/index.js';
 
 interface PendingCall<Value> {
-  readonly begunAt: Milliseconds;
+  readonly startedAt: Milliseconds;
   readonly resolve: (result: Result<Value, Failure>) => void;
 }
 
-/** Calls that wait for an effect of the core, by the id that the event and the effect carry. */
+/** Calls that wait for an effect of the core, keyed by the id that both the event and the effect carry. */
 export class PendingCalls<Value> {
-  /** In the order in which they began. */
+  /** In the order in which they started. */
   readonly #calls = new Map<number, PendingCall<Value>>();
   #lastId = 0;
 
@@ -17,12 +17,12 @@
     return this.#calls.size;
   }
 
-  /** Begins a call; `start` gets its id. */
+  /** Registers a call and passes its id to `start`. */
   begin(now: Milliseconds, start: (id: number) => void): Promise<Result<Value, Failure>> {
     this.#lastId += 1;
     const id = this.#lastId;
     return new Promise((resolve) => {
-      this.#calls.set(id, { begunAt: now, resolve });
+      this.#calls.set(id, { startedAt: now, resolve });
       start(id);
     });
   }
@@ -33,10 +33,10 @@
     call?.resolve(result);
   }
 
-  /** Fails the calls that began at a time or before it. */
-  failOlder(begunAt: Milliseconds, failure: Failure): void {
+  /** Fails the calls that started at or before a time. */
+  failStartedBy(latestStart: Milliseconds, failure: Failure): void {
     for (const [id, call] of this.#calls) {
-      if (call.begunAt > begunAt) {
+      if (call.startedAt > latestStart) {
         return;
       }
       this.settle(id, new Err(failure));
@@ -44,6 +44,6 @@
   }
 
   failAll(failure: Failure): void {
-    this.failOlder(Number.POSITIVE_INFINITY, failure);
+    this.failStartedBy(Number.POSITIVE_INFINITY, failure);
   }
 }
--- a/src/consensus/replicated-log.ts
+++ b/src/consensus/replicated-log.ts
@@ -2,15 +2,15 @@
 
 import type { Failure } from '../common/index.js';
 
-/** What the rest of control needs of the replicated log; the log itself is in this folder. */
+/** The interface of the replicated log to the rest of the control process. */
 
-/** Where this control host stands. */
+/** Whether this control host leads, follows, or knows no leader. */
 export type LeadershipView =
   | { readonly type: 'leader'; readonly term: number }
   | { readonly type: 'follower'; readonly term: number; readonly leader: string }
   | { readonly type: 'leaderless'; readonly term: number };
 
-/** The state machine that the log feeds; all methods are synchronous and free of I/O. */
+/** The state machine that applies the log's commands. All methods are synchronous and free of I/O. */
 export interface StateMachine<Answer> {
   /** Applies one committed command, given as JSON text, and returns the answer for its submitter. */
   readonly apply: (index: number, command: string) => Answer;
@@ -19,13 +19,13 @@
   readonly restoreSnapshot: (index: number, snapshot: string) => void;
 }
 
-/** A log that is the same on all control hosts. */
+/** A log that is replicated to all control hosts. */
 export interface ReplicatedLog<Answer> {
   /** Resolves once the command is committed and applied here, or with a failure (`noQuorum`, `changeUncertain`). Leader only. */
   readonly propose: (command: string) => Promise<Result<Answer, Failure>>;
-  /** Resolves with the index at which a read is not stale (a round of the quorum after the call). Leader only. */
+  /** Resolves with the index at which a read is linearizable, confirmed by a quorum round after the call. Leader only. */
   readonly confirmRead: () => Promise<Result<number, Failure>>;
   readonly view: () => LeadershipView;
-  /** Milliseconds since this host last knew that it was up to date with a leader that had a quorum. */
+  /** Milliseconds since this host was last known to be up to date with a leader that had a quorum. */
   readonly staleness: () => number;
 }
--- a/src/consensus/stream-transport.ts
+++ b/src/consensus/stream-transport.ts
@@ -6,7 +6,7 @@
 import { PeerStream } from './peer-stream.js';
 import type { ConsensusTransport } from './transport.js';
 
-/** Another control host and where it listens. */
+/** Another control host and its address. */
 export interface ConsensusPeer {
   readonly name: NodeName;
   /** `ip:port`. */
@@ -17,14 +17,14 @@
 export interface StreamTransportOptions {
   readonly self: NodeName;
   readonly peers: readonly ConsensusPeer[];
-  /** Address of a control host that is none of the peers; undefined where it cannot be told. */
+  /** Looks up the address of a control host that is not among the peers; undefined if unknown. */
   readonly findAddress?: ((name: NodeName) => string | undefined) | undefined;
-  readonly silenceLimit: Milliseconds;
+  readonly connectionTimeout: Milliseconds;
   readonly clock: Clock;
   readonly random: RandomSource;
 }
 
-/** Messages over one Connect stream in each direction of a pair. */
+/** Sends messages over one Connect stream per direction between each pair of hosts. */
 export class StreamTransport implements ConsensusTransport {
   readonly #options: StreamTransportOptions;
   readonly #streams: Map<NodeName, PeerStream>;
@@ -57,7 +57,7 @@
     await Promise.all([...this.#streams.values()].map((stream) => stream.close()));
   };
 
-  /** A control host that was taken into the log later; the first message opens the stream and is sent anew by the core. */
+  /** Opens the stream to a control host that was admitted later. The first message is dropped; the core resends it. */
   #addStream(to: NodeName): PeerStream | undefined {
     const address = this.#isOpen ? this.#options.findAddress?.(to) : undefined;
     if (address === undefined) {
@@ -70,12 +70,12 @@
   }
 
   #createStream(peer: NodeName, address: string): PeerStream {
-    const { self, silenceLimit, clock, random } = this.#options;
-    return new PeerStream({ self, silenceLimit, clock, random, peer, address });
+    const { self, connectionTimeout, clock, random } = this.#options;
+    return new PeerStream({ self, connectionTimeout, clock, random, peer, address });
   }
 }
 
-/** Hands on what a peer sends, until its stream ends; a stream that is for another host is refused. */
+/** Passes on the messages of a peer until its stream ends; refuses a stream that is meant for another host. */
 export async function readEnvelopes(
   self: NodeName,
   envelopes: AsyncIterable<ConsensusEnvelope>,
--- a/src/consensus/transport.ts
+++ b/src/consensus/transport.ts
@@ -1,9 +1,9 @@
 import type { ConsensusMessage, NodeName } from './core/index.js';
 
-/** Carries messages between control hosts; may lose, double and reorder them, and must not change them. */
+/** Carries messages between control hosts. It may lose, duplicate and reorder messages, but must not alter them. */
 export interface ConsensusTransport {
   readonly open: () => void;
-  /** Sends when it can; a message that cannot be sent now is lost, since the core repeats what matters. */
+  /** Sends the message if possible. One that cannot be sent now is dropped; the core resends what matters. */
   readonly send: (to: NodeName, message: ConsensusMessage) => void;
   readonly close: () => Promise<void>;
 }
