--- a/__tests__/attempts/message-outlet.test.ts
+++ b/__tests__/attempts/response-stream.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { MessageOutlet } from '../../src/sidecar/attempts/message-outlet.js';
+import { ResponseStream } from '../../src/sidecar/attempts/response-stream.js';
 import type { AttemptMessage } from '../../src/sidecar/attempts/messages.js';
 import { decodeMessage } from '../../src/sidecar/attempts/wire.js';
 
@@ -10,7 +10,7 @@
   return { type: 'data', offset, bytes: Buffer.from(text) };
 }
 
-async function readAll(stream: MessageOutlet): Promise<readonly string[]> {
+async function readAll(stream: ResponseStream): Promise<readonly string[]> {
   const seen: string[] = [];
   for await (const response of stream) {
     const message = decodeMessage(response);
@@ -24,7 +24,7 @@
 
 describe('messages to one connection', () => {
   it('join queued adjacent data, but not across other messages or gaps', async () => {
-    const stream = new MessageOutlet();
+    const stream = new ResponseStream();
     stream.push(data(0, 'ab'));
     stream.push(data(2, 'c'));
     stream.push({ type: 'keepAlive', load });
@@ -38,7 +38,7 @@
   });
 
   it('are sent immediately to a connection with a pending read', async () => {
-    const stream = new MessageOutlet();
+    const stream = new ResponseStream();
     const first = stream.next();
     stream.push(data(0, 'a'));
     expect((await first).done).toBe(false);
@@ -46,7 +46,7 @@
   });
 
   it('delay their source until the connection has read enough', async () => {
-    const stream = new MessageOutlet();
+    const stream = new ResponseStream();
     stream.push({ type: 'keepAlive', load });
     stream.push({ type: 'keepAlive', load });
     let isReady = false;
--- a/__tests__/consensus/consensus-node.test.ts
+++ b/__tests__/consensus/consensus-node.test.ts
@@ -115,7 +115,7 @@
     transport,
     tuning,
     snapshotInterval: 5,
-    commitLimit: 5000,
+    commitTimeout: 5000,
     clock: systemClock,
     random: createRandomSource(name.charCodeAt(0)),
     observer: {
@@ -273,7 +273,7 @@
     });
     members.forEach(({ node }, position) => {
       manager.add(node);
-      const routes = { exchange: takeStream(node) };
+      const routes = { exchange: handleExchange(node) };
       manager.add(
         createRpcServer({
           address: addresses[position] ?? '',
@@ -298,9 +298,9 @@
   });
 });
 
-function takeStream(node: ConsensusNode<number>) {
-  return async (envelopes: Parameters<typeof node.takeStream>[0]) => {
-    await node.takeStream(envelopes);
+function handleExchange(node: ConsensusNode<number>) {
+  return async (envelopes: Parameters<typeof node.handleExchange>[0]) => {
+    await node.handleExchange(envelopes);
     return {};
   };
 }
--- a/__tests__/direct/direct-gateway.test.ts
+++ b/__tests__/direct/direct-gateway.test.ts
@@ -97,7 +97,7 @@
     ...emptyRoutingView,
     table: new RouteTable(createDocument()),
     isSynchronized: true,
-    vouchedAt: Number.POSITIVE_INFINITY,
+    confirmedAt: Number.POSITIVE_INFINITY,
   };
   const settings = routingGatewaySettingsSchema.parse({
     name: 'gateway-1',
@@ -260,7 +260,7 @@
   });
 
   it('report "not run" with a retry delay while no document is confirmed', async () => {
-    changeView({ vouchedAt: Number.NEGATIVE_INFINITY });
+    changeView({ confirmedAt: Number.NEGATIVE_INFINITY });
     const answer = await call('GET', '/lookup/7').answer;
     expect(answer.status).toBe(503);
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
@@ -385,9 +385,9 @@
    * document of a gateway that has just started, before the gateway listens for the end of the connection.
    */
   it('are not sent for a caller that left before there was a document', async () => {
-    const vouchedAt = view.vouchedAt ?? 0;
+    const confirmedAt = view.confirmedAt ?? 0;
     changeView({
-      vouchedAt: Number.NEGATIVE_INFINITY,
+      confirmedAt: Number.NEGATIVE_INFINITY,
       instances: new Map([createInstance('i-1', first)]),
     });
     first.handle = (_, response) => {
@@ -397,7 +397,7 @@
     await new Promise((resolve) => setTimeout(resolve, 100));
     leave();
     await new Promise((resolve) => setTimeout(resolve, 100));
-    changeView({ vouchedAt });
+    changeView({ confirmedAt });
     const { answer } = call('GET', '/lookup/2');
     expect((await answer).status).toBe(200);
     expect(first.received.map(({ url }) => url)).toEqual(['/lookup/2']);
--- a/__tests__/groups/group-simulation.ts
+++ b/__tests__/groups/group-simulation.ts
@@ -144,7 +144,7 @@
     const host = this.#find(name);
     for (const { group, lead } of host.leads.values()) {
       this.#log(
-        `${name}: ${describeGroup(group)} answers an attempt: ${lead.admission(this.#readClock(host))}`,
+        `${name}: ${describeGroup(group)} answers an attempt: ${lead.checkAdmission(this.#readClock(host))}`,
       );
     }
   }
@@ -249,7 +249,7 @@
       group,
       incarnation: `${host.name}/${host.start}`,
       duration: leaseDuration,
-      confirmBatch: 3,
+      confirmBatchDelay: 3,
       confirmTimeout: 250,
     });
     const led: LedGroup = { group, lead, nextTickAt: Infinity, health: undefined };
--- a/__tests__/groups/simulated-control.ts
+++ b/__tests__/groups/simulated-control.ts
@@ -75,7 +75,7 @@
         incompleteFor: this.#groupWatch.incompleteFor(group, now),
       })),
       estimates: { loadDuration, handover: 3000, hostUnavailability: 0.01 },
-      isWatcherSuspected: this.#health.isIsolationSuspected,
+      isIsolationSuspected: this.#health.isIsolationSuspected,
     });
     const { place, dissolve, notes } = decision;
     if (place.length + dissolve.length === 0) {
--- a/__tests__/lease/lease.test.ts
+++ b/__tests__/lease/lease.test.ts
@@ -54,7 +54,7 @@
     group,
     incarnation: 'a-1',
     duration: 2000,
-    confirmBatch: 3,
+    confirmBatchDelay: 3,
     confirmTimeout: 50,
   });
   return lead;
@@ -124,8 +124,8 @@
     const effects = exchange(lead, asked, members, 1300);
     expect(effects.some((effect) => effect.type === 'healthChanged')).toBe(true);
     expect(lead.wholeUntil()).toBe(1000 + 2000 * 0.98);
-    expect(lead.admission(1301)).toBe('ok');
-    expect(lead.admission(2960)).toBe('notWhole');
+    expect(lead.checkAdmission(1301)).toBe('ok');
+    expect(lead.checkAdmission(2960)).toBe('notWhole');
   });
 
   it('loses a lease at once on a refusal or a closed connection, even if answers are still in flight', () => {
@@ -159,7 +159,7 @@
     }
     const effects = lead.handle({ type: 'answered', now: 3, answer: notice.answer });
     expect(effects).toContainEqual({ type: 'drainNoted', member: 'b' });
-    expect(lead.admission(4)).toBe('draining');
+    expect(lead.checkAdmission(4)).toBe('draining');
     expect(lead.isWhole(4)).toBe(true);
   });
 
--- a/__tests__/lease/simulation.ts
+++ b/__tests__/lease/simulation.ts
@@ -317,7 +317,7 @@
 
   #startLead(host: Host, group: Group): void {
     const incarnation = `${host.index}/${host.start}`;
-    const timing = { duration, confirmBatch: 3, confirmTimeout: 50 };
+    const timing = { duration, confirmBatchDelay: 3, confirmTimeout: 50 };
     const lead = this.#classes.createLead({ group, incarnation, ...timing });
     const held = { group, lead, wakeAt: Infinity };
     host.leads.set(group.fencingNumber, held);
--- a/__tests__/placement/fixtures.ts
+++ b/__tests__/placement/fixtures.ts
@@ -88,7 +88,7 @@
     hosts: [],
     groups: [],
     estimates: { loadDuration: 120_000, handover: 3000, hostUnavailability: 0.005 },
-    isWatcherSuspected: false,
+    isIsolationSuspected: false,
     ...change,
   };
 }
--- a/__tests__/placement/plan.test.ts
+++ b/__tests__/placement/plan.test.ts
@@ -169,7 +169,7 @@
 
   it('does not act on lost hosts while control suspects that it is isolated', () => {
     const decision = planPlacement(
-      createInput({ ...lose({ type: 'gone' }), isWatcherSuspected: true }),
+      createInput({ ...lose({ type: 'gone' }), isIsolationSuspected: true }),
     );
     expect([decision.place, decision.dissolve]).toEqual([[], []]);
   });
--- a/__tests__/public-entry.test.ts
+++ b/__tests__/public-entry.test.ts
@@ -20,7 +20,7 @@
         'resultCodes',
         'Router',
         'SidecarProcess',
-        'WatchedStateKeeper',
+        'WatchedStateTracker',
       ]),
     );
   });
--- a/__tests__/requests/connections.test.ts
+++ b/__tests__/requests/connections.test.ts
@@ -7,12 +7,12 @@
 import { waitFor } from '../support/index.js';
 import { AttemptConnections } from '../../src/gateway/shell/attempt-connections.js';
 import { AttemptService } from '../../src/generated/pistachiospoke/v1/attempt_pb.js';
-import { MessageOutlet } from '../../src/sidecar/attempts/message-outlet.js';
+import { ResponseStream } from '../../src/sidecar/attempts/response-stream.js';
 import { encodeRun } from '../../src/sidecar/attempts/wire.js';
 
 /** A sidecar whose messages are sent by the test. */
 class ManualSidecar {
-  readonly outlets: MessageOutlet[] = [];
+  readonly streams: ResponseStream[] = [];
   readonly resets: number[] = [];
   readonly #server: Http2Server;
   #closedSessions = 0;
@@ -43,17 +43,17 @@
   }
 
   close(): void {
-    this.outlets.forEach((outlet) => {
-      outlet.abandon();
+    this.streams.forEach((stream) => {
+      stream.abort();
     });
     this.#server.close();
   }
 
-  #open(): MessageOutlet {
-    const outlet = new MessageOutlet();
-    outlet.push({ type: 'accepted', load: { running: 1, queued: 0, capacity: 4 } });
-    this.outlets.push(outlet);
-    return outlet;
+  #open(): ResponseStream {
+    const stream = new ResponseStream();
+    stream.push({ type: 'accepted', load: { running: 1, queued: 0, capacity: 4 } });
+    this.streams.push(stream);
+    return stream;
   }
 }
 
@@ -98,10 +98,10 @@
     const second = connections.run(address, encodeRun(order, upstream), listen('second'));
     await waitFor('the second stream', () => received.includes('second accepted'));
 
-    sidecar.outlets[0]?.push(ended);
+    sidecar.streams[0]?.push(ended);
     await waitFor('the end of the first stream', () => received.includes('first ended'));
     first.drop();
-    sidecar.outlets[0]?.close();
+    sidecar.streams[0]?.close();
     await waitFor('the close of the first stream', () => sidecar.resets.length === 1);
     expect(sidecar.resets).toEqual([0]);
 
@@ -109,7 +109,7 @@
     connections.run(address, encodeRun(order, upstream), listen('third'));
     await waitFor('a stream on a new connection', () => received.includes('third accepted'));
     expect(sidecar.closedSessions).toBe(0);
-    sidecar.outlets[1]?.push(ended);
+    sidecar.streams[1]?.push(ended);
     await waitFor('the end of the second stream', () => received.includes('second ended'));
     second.drop();
     await waitFor('the retired connection to close', () => sidecar.closedSessions === 1);
--- a/__tests__/requests/fixture.ts
+++ b/__tests__/requests/fixture.ts
@@ -19,7 +19,7 @@
 import type { Group, WatchedState, WatchedStateSource } from '../../src/model/index.js';
 import {
   createAttemptService,
-  HttpUpstreamCaller,
+  HttpUpstreamClient,
   type AttemptService,
   type AttemptServiceOptions,
 } from '../../src/sidecar/attempts/index.js';
@@ -151,7 +151,7 @@
   cleanup: Cleanup,
   overrides: Partial<AttemptServiceOptions> = {},
 ): Promise<TestSidecar> {
-  const upstream = new HttpUpstreamCaller(() => upstreamUrl);
+  const upstream = new HttpUpstreamClient(() => upstreamUrl);
   const service = createAttemptService({
     incarnation,
     clock: systemClock,
--- a/__tests__/watch/routing-histories.test.ts
+++ b/__tests__/watch/routing-histories.test.ts
@@ -54,9 +54,9 @@
 /** A gateway with a confirmed state must have all changes accepted before the limit, so that keys revoked by then are rejected. */
 function checkConfirmedVersions(simulation: RoutingSimulation): void {
   for (const { tracker, version } of simulation.gateways) {
-    const { vouchedAt, isSynchronized } = tracker.read();
+    const { confirmedAt, isSynchronized } = tracker.read();
     const isConfirmed =
-      isSynchronized && simulation.now - (vouchedAt ?? -confirmationLimit) < confirmationLimit;
+      isSynchronized && simulation.now - (confirmedAt ?? -confirmationLimit) < confirmationLimit;
     const requiredVersion = simulation.versionBefore(revocationLimit);
     if (isConfirmed && version < requiredVersion) {
       simulation.violations.push(
--- a/__tests__/watch/routing-state-tracker.test.ts
+++ b/__tests__/watch/routing-state-tracker.test.ts
@@ -76,11 +76,11 @@
 
   it('is confirmed only by an up-to-date control host, and only once the state is complete', () => {
     const tracker = createTracker([{ type: 'connected' }, { ...status, now: 100 }]);
-    expect(tracker.read().vouchedAt).toBeUndefined();
+    expect(tracker.read().confirmedAt).toBeUndefined();
     tracker.handle({ type: 'synchronized', index: 5, version: 0 });
     tracker.handle({ ...status, now: 200 });
-    expect(tracker.read().vouchedAt).toBe(200);
+    expect(tracker.read().confirmedAt).toBe(200);
     expect(tracker.handle({ ...status, isFresh: false, now: 300 })).toBe('leave');
-    expect(tracker.read().vouchedAt).toBe(200);
+    expect(tracker.read().confirmedAt).toBe(200);
   });
 });
--- a/__tests__/watch/watched-state.test.ts
+++ b/__tests__/watch/watched-state.test.ts
@@ -4,7 +4,7 @@
 import { createRandomSource } from '../../src/common/index.js';
 import { emptyConfiguration } from '../../src/configuration/index.js';
 import type { WatchedGroup } from '../../src/model/index.js';
-import { ReconnectPacing, WatchedStateKeeper, type WatchEvent } from '../../src/watch/index.js';
+import { ReconnectBackoff, WatchedStateTracker, type WatchEvent } from '../../src/watch/index.js';
 
 const seed = 20_261_202;
 /** Spreads the seeds like those of real processes: random sources with adjacent seeds start with nearly the same number. */
@@ -55,7 +55,7 @@
   it('never reverts, whichever control hosts it is received from', () => {
     fc.assert(
       fc.property(fc.array(controlHostState, { maxLength: 8 }), (controlHostStates) => {
-        const tracker = new WatchedStateKeeper();
+        const tracker = new WatchedStateTracker();
         let revision = 0;
         let fencingNumber = 0;
         for (const event of controlHostStates.flatMap(createEvents)) {
@@ -73,7 +73,7 @@
   });
 
   it('leaves a control host that lags or has lost its quorum', () => {
-    const tracker = new WatchedStateKeeper();
+    const tracker = new WatchedStateTracker();
     createEvents({ index: 5, deliveredMessages: 3, isFresh: true }).forEach((event) =>
       tracker.handle(event),
     );
@@ -92,7 +92,7 @@
 
 describe('reconnect delays', () => {
   it('grow to a maximum while no connection is useful, and start again after a useful one', () => {
-    const backoff = new ReconnectPacing(createRandomSource(seed));
+    const backoff = new ReconnectBackoff(createRandomSource(seed));
     const delays = Array.from({ length: 20 }, () => backoff.next());
     expect(delays[0]).toBeLessThanOrEqual(200);
     expect(Math.max(...delays)).toBeLessThanOrEqual(5000);
@@ -103,7 +103,7 @@
 
   it('differ between clients, so that they do not reconnect at the same moment', () => {
     const delays = Array.from({ length: 100 }, (_, client) =>
-      new ReconnectPacing(createRandomSource(Math.imul(client, seedStep))).next(),
+      new ReconnectBackoff(createRandomSource(Math.imul(client, seedStep))).next(),
     );
     expect(new Set(delays.map((delay) => Math.round(delay / 10))).size).toBeGreaterThan(8);
   });
--- a/bench/capacity/client-roles.ts
+++ b/bench/capacity/client-roles.ts
@@ -40,7 +40,7 @@
       logger,
       clock: systemClock,
       random,
-      describe: () => ({
+      buildReport: () => ({
         host: facts.host,
         incarnation: facts.incarnation,
         facts,
--- a/bench/consensus/log-role.ts
+++ b/bench/consensus/log-role.ts
@@ -61,7 +61,7 @@
     machine: new CountingMachine(),
     heartbeat: 100,
     election: 800,
-    commitLimit: 5000,
+    commitTimeout: 5000,
     snapshotInterval: defaultSnapshotInterval,
     clock: systemClock,
     random: createEntropySource(),
@@ -79,7 +79,7 @@
     routes: (router) =>
       router.service(ConsensusService, {
         exchange: async (envelopes) => {
-          await node.takeStream(envelopes);
+          await node.handleExchange(envelopes);
           return {};
         },
       }),
--- a/bench/groups/costs.ts
+++ b/bench/groups/costs.ts
@@ -54,7 +54,7 @@
       group: this.group,
       incarnation,
       duration,
-      confirmBatch: batch,
+      confirmBatchDelay: batch,
       confirmTimeout: 250,
     });
     this.#questions = this.group.members.map(() => new LeaseQuestionWriter());
--- a/bench/groups/strategies.ts
+++ b/bench/groups/strategies.ts
@@ -116,7 +116,7 @@
         incompleteFor: this.#watch.incompleteFor(group, now),
       })),
       estimates: { loadDuration: this.#loadDuration, handover: 2000, hostUnavailability: 0.005 },
-      isWatcherSuspected: this.#health.isIsolationSuspected,
+      isIsolationSuspected: this.#health.isIsolationSuspected,
     });
   }
 
--- a/bench/leader/client-roles.ts
+++ b/bench/leader/client-roles.ts
@@ -155,9 +155,9 @@
     host,
     incarnation: createIdentifier(),
     findLeader: () => watcher.read().leader,
-    describe: () => engine.describe(),
+    readFacts: () => engine.describe(),
     isDraining: () => false,
-    onStaging: (model) => {
+    onStagingModel: (model) => {
       engine.stage(model, () => {
         reporter.notify();
       });
--- a/bench/steps/control-steps.ts
+++ b/bench/steps/control-steps.ts
@@ -14,7 +14,7 @@
 import { emptyConfiguration } from '../../src/configuration/index.js';
 import type { WatchedState } from '../../src/model/index.js';
 import { planPlacement, type PlacementInput } from '../../src/placement/index.js';
-import { WatchedStateKeeper } from '../../src/watch/index.js';
+import { WatchedStateTracker } from '../../src/watch/index.js';
 import { createLargeConfiguration } from '../capacity/fixtures.js';
 import { createWatchedState } from './request-steps.js';
 import { createStepRow, measureRepeatedly } from './step-meter.js';
@@ -121,11 +121,11 @@
   const publications = measureRepeatedly(5000, () => {
     hub.publish({ ...state, index: 1, groups: new Map(state.groups) });
   });
-  const keeper = createKeeper(state);
+  const tracker = createTracker(state);
   const groups = [...state.groups.values()];
   const events = measureRepeatedly(5000, (turn) => {
     const group = groups[turn % groups.length];
-    return group && keeper.handle({ type: 'group', index: turn + 2, group });
+    return group && tracker.handle({ type: 'group', index: turn + 2, group });
   });
   return [
     createStepRow(`watch hub, ${groupCount} groups, no change`, publications, 'one a report'),
@@ -133,14 +133,14 @@
   ];
 }
 
-function createKeeper(state: WatchedState): WatchedStateKeeper {
-  const keeper = new WatchedStateKeeper();
-  keeper.handle({ type: 'connected' });
+function createTracker(state: WatchedState): WatchedStateTracker {
+  const tracker = new WatchedStateTracker();
+  tracker.handle({ type: 'connected' });
   for (const group of state.groups.values()) {
-    keeper.handle({ type: 'group', index: 1, group });
+    tracker.handle({ type: 'group', index: 1, group });
   }
-  keeper.handle({ type: 'synchronized', index: 1 });
-  return keeper;
+  tracker.handle({ type: 'synchronized', index: 1 });
+  return tracker;
 }
 
 /** All hosts placed in groups of four that serve. */
--- a/bench/steps/lease-steps.ts
+++ b/bench/steps/lease-steps.ts
@@ -27,7 +27,7 @@
     group,
     incarnation: 'llm-1',
     duration,
-    confirmBatch: 0,
+    confirmBatchDelay: 0,
     confirmTimeout: 250,
   });
   const run = (event: LeaseLeadEvent): void => {
--- a/src/consensus/consensus-node.ts
+++ b/src/consensus/consensus-node.ts
@@ -53,7 +53,7 @@
   /** Number of applied entries between two snapshots. */
   readonly snapshotInterval: number;
   /** Longest wait for a commit; then the submitter is answered `changeUncertain`. */
-  readonly commitLimit: Milliseconds;
+  readonly commitTimeout: Milliseconds;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly observer: ConsensusObserver;
@@ -187,7 +187,7 @@
   };
 
   /** Handler of ConsensusService.Exchange. */
-  readonly takeStream = (envelopes: AsyncIterable<ConsensusEnvelope>): Promise<void> =>
+  readonly handleExchange = (envelopes: AsyncIterable<ConsensusEnvelope>): Promise<void> =>
     readEnvelopes(this.#options.name, envelopes, this.receive);
 
   #now(): Milliseconds {
@@ -198,7 +198,7 @@
     const now = this.#now();
     this.#handle({ type: 'tick', now });
     const failure = createFailure('changeUncertain', 'the commit took too long');
-    this.#proposals.failStartedBy(now - this.#options.commitLimit, failure);
+    this.#proposals.failStartedBy(now - this.#options.commitTimeout, failure);
   }
 
   #submitProposals(): void {
--- a/src/consensus/create-consensus-node.ts
+++ b/src/consensus/create-consensus-node.ts
@@ -39,7 +39,7 @@
   readonly election: Milliseconds;
   readonly snapshotInterval: number;
   /** Longest wait for a commit; then the submitter is answered `changeUncertain`. */
-  readonly commitLimit: Milliseconds;
+  readonly commitTimeout: Milliseconds;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly observer: ConsensusObserver & { readonly notice: StorageNotice };
--- a/src/control/shell/control-process.ts
+++ b/src/control/shell/control-process.ts
@@ -205,7 +205,7 @@
     });
     router.service(ConsensusService, {
       exchange: async (envelopes) => {
-        await this.#log.takeStream(envelopes);
+        await this.#log.handleExchange(envelopes);
         return {};
       },
       admit: (request) => this.#membership.handleAdmitRequest(request),
--- a/src/control/shell/log.ts
+++ b/src/control/shell/log.ts
@@ -48,7 +48,7 @@
     machine,
     heartbeat: timeouts.heartbeatMilliseconds,
     election: timeouts.electionMilliseconds,
-    commitLimit: timeouts.commitMilliseconds,
+    commitTimeout: timeouts.commitMilliseconds,
     snapshotInterval: defaultSnapshotInterval,
     clock,
     random: createEntropySource(),
--- a/src/control/shell/placement-loop.ts
+++ b/src/control/shell/placement-loop.ts
@@ -101,7 +101,7 @@
       hosts,
       groups,
       estimates,
-      isWatcherSuspected: observer.isWatcherSuspected,
+      isIsolationSuspected: observer.isWatcherSuspected,
     };
   }
 
--- a/src/gateway/direct/document-guard.ts
+++ b/src/gateway/direct/document-guard.ts
@@ -78,7 +78,7 @@
   }
 
   get #confirmationAge(): Milliseconds | undefined {
-    const { vouchedAt } = this.#options.readView();
-    return vouchedAt === undefined ? undefined : this.#options.clock.monotonic() - vouchedAt;
+    const { confirmedAt } = this.#options.readView();
+    return confirmedAt === undefined ? undefined : this.#options.clock.monotonic() - confirmedAt;
   }
 }
--- a/src/gateway/request-machine.ts
+++ b/src/gateway/request-machine.ts
@@ -1,6 +1,6 @@
 import { createMachine, transition } from 'xstate';
 
-import { StepTable } from '../sidecar/attempts/step-table.js';
+import { TransitionCache } from '../sidecar/attempts/transition-cache.js';
 
 /** States of one caller's request at its gateway. */
 const requestMachine = createMachine({
@@ -39,12 +39,12 @@
 /** States of the attempt machine. */
 export type FollowStage = 'reading' | 'asking' | 'over';
 
-const requestSteps = new StepTable<RequestStage, RequestStep>((stage, step) => {
+const requestSteps = new TransitionCache<RequestStage, RequestStep>((stage, step) => {
   const snapshot = requestMachine.resolveState({ value: stage });
   return transition(requestMachine, snapshot, { type: step })[0].value as RequestStage;
 });
 
-const followSteps = new StepTable<FollowStage, FollowStep>((stage, step) => {
+const followSteps = new TransitionCache<FollowStage, FollowStep>((stage, step) => {
   const snapshot = attemptMachine.resolveState({ value: stage });
   return transition(attemptMachine, snapshot, { type: step })[0].value as FollowStage;
 });
@@ -59,7 +59,7 @@
 
   /** Applies a step; a step that the current stage does not allow is ignored. */
   step(step: RequestStep): void {
-    this.#stage = requestSteps.find(this.#stage, step);
+    this.#stage = requestSteps.findNext(this.#stage, step);
   }
 }
 
@@ -73,6 +73,6 @@
 
   /** Applies a step; a step that the current stage does not allow is ignored. */
   step(step: FollowStep): void {
-    this.#stage = followSteps.find(this.#stage, step);
+    this.#stage = followSteps.findNext(this.#stage, step);
   }
 }
--- a/src/gateway/shell/sidecar-connection.ts
+++ b/src/gateway/shell/sidecar-connection.ts
@@ -4,7 +4,7 @@
 import type { Milliseconds } from '../../common/index.js';
 import { AttemptService } from '../../generated/pistachiospoke/v1/attempt_pb.js';
 import type { Address } from '../../model/index.js';
-import { smallestCompressed } from '../../wire/index.js';
+import { compressionThreshold } from '../../wire/index.js';
 
 const connectTimeout: Milliseconds = 1000;
 
@@ -24,7 +24,7 @@
       httpVersion: '2',
       baseUrl,
       sessionManager: this.#session,
-      compressMinBytes: smallestCompressed,
+      compressMinBytes: compressionThreshold,
     });
     this.client = createClient(AttemptService, transport);
   }
--- a/src/index.ts
+++ b/src/index.ts
@@ -108,7 +108,7 @@
 } from './sidecar/orders/index.js';
 
 /** What a watcher believes of control. */
-export { WatchedStateKeeper, type WatchEvent, type WatchVerdict } from './watch/index.js';
+export { WatchedStateTracker, type WatchEvent, type WatchVerdict } from './watch/index.js';
 
 /** Whole processes, as parts for a {@link LifecycleManager}. */
 export { ControlProcess, type ControlProcessOptions } from './control/index.js';
--- a/src/lease/lead.ts
+++ b/src/lease/lead.ts
@@ -30,7 +30,7 @@
   readonly incarnation: string;
   readonly duration: Milliseconds;
   /** Confirmations requested within this time are batched into one round. */
-  readonly confirmBatch: Milliseconds;
+  readonly confirmBatchDelay: Milliseconds;
   /** Time after which an incomplete confirmation round fails. */
   readonly confirmTimeout: Milliseconds;
 }
@@ -85,7 +85,7 @@
     this.#leases = new Map(
       options.group.members.map((member) => [member.host, new HeldLease(member)]),
     );
-    this.#confirmations = new ConfirmationRounds(options.confirmBatch, options.confirmTimeout);
+    this.#confirmations = new ConfirmationRounds(options.confirmBatchDelay, options.confirmTimeout);
     this.#isDraining = options.group.isDraining;
     this.#health = this.health(-Infinity);
   }
@@ -104,7 +104,7 @@
   }
 
   /** Checks whether an attempt may be handed to the engine; callers must pass a fresh clock reading. */
-  admission(now: Milliseconds): Extract<ResultCodeName, 'ok' | 'draining' | 'notWhole'> {
+  checkAdmission(now: Milliseconds): Extract<ResultCodeName, 'ok' | 'draining' | 'notWhole'> {
     if (this.#isDraining) {
       return 'draining';
     }
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -103,7 +103,7 @@
       ? [{ group: placed.group, declaration, condition }]
       : [],
   );
-  if (plan.input.isWatcherSuspected) {
+  if (plan.input.isIsolationSuspected) {
     return broken;
   }
   return mergeGroups(plan, repairGroups(plan, broken));
@@ -115,7 +115,7 @@
   demands: readonly Demand[],
   stillBroken: readonly BrokenGroup[],
 ): void {
-  if (plan.input.isWatcherSuspected) {
+  if (plan.input.isIsolationSuspected) {
     return;
   }
   for (const broken of stillBroken) {
@@ -158,7 +158,7 @@
  */
 function dissolveLost(plan: WorkingPlan, stillBroken: readonly BrokenGroup[]): void {
   for (const { group, condition } of stillBroken) {
-    if (condition.expectedReturn < Infinity || plan.input.isWatcherSuspected) {
+    if (condition.expectedReturn < Infinity || plan.input.isIsolationSuspected) {
       plan.addNote({ type: 'noSpare', group: group.name });
     } else {
       plan.dissolve(group.name);
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -54,7 +54,7 @@
   readonly groups: readonly PlacedGroup[];
   readonly estimates: PlacementEstimates;
   /** Whether control suspects that it is isolated from the network itself; broken groups are then left unchanged. */
-  readonly isWatcherSuspected: boolean;
+  readonly isIsolationSuspected: boolean;
 }
 
 /** Use of the weight store's limit on concurrent loads. */
--- a/src/sidecar/attempts/attempt-machine.ts
+++ b/src/sidecar/attempts/attempt-machine.ts
@@ -1,7 +1,7 @@
 import { createMachine, transition } from 'xstate';
 
 import type { Milliseconds } from '../../common/index.js';
-import { StepTable } from './step-table.js';
+import { TransitionCache } from './transition-cache.js';
 
 /** State machine for the lifecycle of one attempt at a sidecar. */
 const attemptMachine = createMachine({
@@ -28,7 +28,7 @@
 /** Lifecycle stages of an attempt. */
 export type AttemptStage = 'queued' | 'confirming' | 'running' | 'ended' | 'refused';
 
-const attemptTransitions = new StepTable<AttemptStage, AttemptTransition>((stage, event) => {
+const attemptTransitions = new TransitionCache<AttemptStage, AttemptTransition>((stage, event) => {
   const snapshot = attemptMachine.resolveState({ value: stage });
   return transition(attemptMachine, snapshot, { type: event })[0].value as AttemptStage;
 });
@@ -53,7 +53,7 @@
 
   /** Applies an event. Returns false and changes nothing when the current stage does not allow it. */
   transition(event: AttemptTransition, now: Milliseconds): boolean {
-    const next = attemptTransitions.find(this.#stage, event);
+    const next = attemptTransitions.findNext(this.#stage, event);
     if (next === this.#stage) {
       return false;
     }
--- a/src/sidecar/attempts/attempt-service.ts
+++ b/src/sidecar/attempts/attempt-service.ts
@@ -35,7 +35,7 @@
   SubscriberId,
   UpstreamRequest,
 } from './messages.js';
-import { MessageOutlet } from './message-outlet.js';
+import { ResponseStream } from './response-stream.js';
 import type { UpstreamClient } from './upstream-client.js';
 import { UpstreamRelay } from './upstream-relay.js';
 import {
@@ -85,7 +85,7 @@
   readonly name = 'attempts';
   readonly #options: AttemptServiceOptions;
   readonly #controller: AttemptController;
-  readonly #streams = new Map<SubscriberId, MessageOutlet>();
+  readonly #streams = new Map<SubscriberId, ResponseStream>();
   readonly #requests = new Map<AttemptKey, UpstreamRequest>();
   readonly #relay: UpstreamRelay;
   readonly #pendingQueries = new Map<number, (state: AttemptState) => void>();
@@ -206,13 +206,13 @@
   #subscribe(context: HandlerContext): {
     readonly revision: Revision;
     readonly subscriber: SubscriberId;
-    readonly stream: MessageOutlet;
+    readonly stream: ResponseStream;
   } {
     const subscriber = this.#allocateId();
-    const stream = new MessageOutlet();
+    const stream = new ResponseStream();
     this.#streams.set(subscriber, stream);
     context.signal.addEventListener('abort', () => {
-      stream.abandon();
+      stream.abort();
       this.#streams.delete(subscriber);
       this.#handle({ type: 'subscriberGone', now: this.#now(), subscriber });
     });
--- a/src/sidecar/attempts/index.ts
+++ b/src/sidecar/attempts/index.ts
@@ -18,7 +18,7 @@
 export { defaultAttemptLimits, type AttemptLimits } from './limits.js';
 export { createRequestId, readRequestTime } from './request-identifier.js';
 export {
-  HttpUpstreamCaller,
+  HttpUpstreamClient,
   type UpstreamResponse,
   type UpstreamClient,
 } from './upstream-client.js';
--- a/src/sidecar/attempts/message-outlet.ts
+++ b/src/sidecar/attempts/response-stream.ts
@@ -22,7 +22,7 @@
  * Data queued while the connection is busy is sent in fewer, larger frames. No message is delayed to fill a frame.
  * Implemented as a plain iterator instead of an async generator, because it is invoked for every token.
  */
-export class MessageOutlet implements AsyncIterableIterator<RunResponse> {
+export class ResponseStream implements AsyncIterableIterator<RunResponse> {
   readonly #queue: QueuedMessage[] = [];
   #isClosed = false;
   #resolvePendingRead: ((result: IteratorResult<RunResponse, undefined>) => void) | undefined;
@@ -55,7 +55,7 @@
   }
 
   /** Ends the iteration immediately and drops all queued messages. */
-  abandon(): void {
+  abort(): void {
     this.#queue.length = 0;
     this.close();
   }
@@ -88,7 +88,7 @@
   }
 
   return(): Promise<IteratorResult<RunResponse, undefined>> {
-    this.abandon();
+    this.abort();
     return Promise.resolve({ done: true, value: undefined });
   }
 
--- a/src/sidecar/attempts/step-table.ts
+++ b/src/sidecar/attempts/transition-cache.ts
@@ -3,7 +3,7 @@
  * For such a machine, the next stage depends only on the stage and the event. Computing a transition again costs about
  * 12 microseconds, eight times per request.
  */
-export class StepTable<Stage extends string, Event extends string> {
+export class TransitionCache<Stage extends string, Event extends string> {
   readonly #compute: (stage: Stage, event: Event) => Stage;
   readonly #transitions = new Map<Stage, Map<Event, Stage>>();
 
@@ -13,7 +13,7 @@
   }
 
   /** Returns the stage after an event; the same stage if the event is not allowed. */
-  find(stage: Stage, event: Event): Stage {
+  findNext(stage: Stage, event: Event): Stage {
     const transitions = this.#transitions.get(stage) ?? new Map<Event, Stage>();
     this.#transitions.set(stage, transitions);
     const next = transitions.get(event) ?? this.#compute(stage, event);
--- a/src/sidecar/attempts/upstream-client.ts
+++ b/src/sidecar/attempts/upstream-client.ts
@@ -36,7 +36,7 @@
 ]);
 
 /** Sends requests to an upstream over HTTP with undici, without retries. */
-export class HttpUpstreamCaller implements UpstreamClient {
+export class HttpUpstreamClient implements UpstreamClient {
   readonly #agent: Agent;
   readonly #readBaseUrl: () => string | undefined;
 
--- a/src/sidecar/engine/engine-port.ts
+++ b/src/sidecar/engine/engine-port.ts
@@ -40,7 +40,7 @@
  * Result of a status request. `unreadable`: a response arrived that carries no valid status. `unanswered`: the request timed out or its
  * connection broke. `refused`: nothing listens on the address.
  */
-export type EngineAnswer =
+export type EngineStatusResult =
   | EngineStatus
   | { readonly type: 'unreadable'; readonly reason: string }
   | { readonly type: 'unanswered'; readonly reason: string }
@@ -50,7 +50,7 @@
 export interface EnginePort {
   /** `ip:port`. */
   readonly address: string;
-  readonly readStatus: () => Promise<EngineAnswer>;
+  readonly readStatus: () => Promise<EngineStatusResult>;
   /** Id of the instance that responds; undefined if none does. */
   readonly readInstance: () => Promise<string | undefined>;
   readonly order: (order: EngineOrder) => Promise<OrderOutcome>;
--- a/src/sidecar/engine/engine-reporter.ts
+++ b/src/sidecar/engine/engine-reporter.ts
@@ -14,8 +14,8 @@
   type EngineReport,
 } from '../../generated/pistachiospoke/v1/routing_pb.js';
 import type { EngineFacts } from '../../routing/index.js';
-import { ReconnectPacing } from '../../watch/index.js';
-import { MessageQueue, StreamSilence, type RpcClientPool } from '../../wire/index.js';
+import { ReconnectBackoff } from '../../watch/index.js';
+import { MessageQueue, StreamIdleTimeout, type RpcClientPool } from '../../wire/index.js';
 
 /** Reports engine facts to the control leader: changes at once, otherwise small periodic heartbeats. */
 
@@ -36,11 +36,11 @@
   readonly incarnation: string;
   /** Returns the `ip:port` of the leader, or an empty string while none is known. */
   readonly findLeader: () => string;
-  readonly describe: () => EngineFacts;
+  readonly readFacts: () => EngineFacts;
   /** Whether the leader is waiting for this engine to become idle. */
   readonly isDraining: () => boolean;
   /** Called with the model that the leader wants staged. */
-  readonly onStaging: (model: string | undefined) => void;
+  readonly onStagingModel: (model: string | undefined) => void;
   readonly clients: RpcClientPool;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -50,7 +50,7 @@
 export class EngineReporter implements ManagedPart {
   readonly name = 'engine reporter';
   readonly #options: EngineReporterOptions;
-  readonly #pacing: ReconnectPacing;
+  readonly #pacing: ReconnectBackoff;
   readonly #closing = new AbortController();
   #queue: MessageQueue<EngineReport> | undefined;
   #stream: AbortController | undefined;
@@ -61,18 +61,18 @@
   #lastSentFacts = '';
   #lastSentAt: Milliseconds = 0;
   #heartbeatTimer: NodeJS.Timeout | undefined;
-  readonly #silence: StreamSilence;
+  readonly #silence: StreamIdleTimeout;
   #running: Promise<void> | undefined;
 
   constructor(options: EngineReporterOptions) {
     this.#options = options;
-    this.#pacing = new ReconnectPacing(options.random, maxReconnectDelay);
-    this.#silence = new StreamSilence(options.clients, acknowledgementTimeout);
+    this.#pacing = new ReconnectBackoff(options.random, maxReconnectDelay);
+    this.#silence = new StreamIdleTimeout(options.clients, acknowledgementTimeout);
   }
 
   open(): void {
     this.#heartbeatTimer = setInterval(() => {
-      this.#send(this.#options.describe());
+      this.#send(this.#options.readFacts());
     }, heartbeatInterval);
     this.#running = this.#run();
   }
@@ -87,7 +87,7 @@
 
   /** Sends changed facts at once; changes of load alone are rate limited. */
   notify(): void {
-    const facts = this.#options.describe();
+    const facts = this.#options.readFacts();
     const interval = this.#options.isDraining() ? drainingLoadInterval : loadInterval;
     const isDue = this.#options.clock.monotonic() - this.#lastSentAt >= interval;
     const isLoadNew = isDue && JSON.stringify(facts) !== this.#lastSentFacts;
@@ -119,7 +119,7 @@
           logger.info({ leader: this.#leader, error: String(error) }, 'report stream ended');
         }
       }
-      this.#silence.end();
+      this.#silence.clear();
       this.#queue = undefined;
       if (!this.#isClosing()) {
         await pause(this.#pacing.next(), this.#closing.signal);
@@ -133,15 +133,15 @@
     this.#stream = stream;
     this.#queue = queue;
     this.#lastSentFacts = '';
-    this.#send(this.#options.describe());
-    this.#silence.expect(leader, stream);
+    this.#send(this.#options.readFacts());
+    this.#silence.restart(leader, stream);
     const answers = this.#options.clients
       .client(RoutingService, leader)
       .reportEngine(queue, { signal: stream.signal });
     for await (const { stagingModel } of answers) {
-      this.#silence.expect(leader, stream);
+      this.#silence.restart(leader, stream);
       this.#pacing.reset();
-      this.#options.onStaging(stagingModel === '' ? undefined : stagingModel);
+      this.#options.onStagingModel(stagingModel === '' ? undefined : stagingModel);
     }
   }
 
--- a/src/sidecar/engine/engine-sidecar.ts
+++ b/src/sidecar/engine/engine-sidecar.ts
@@ -64,9 +64,9 @@
     host,
     incarnation: createIdentifier(),
     findLeader: () => watcher.read().leader,
-    describe: readFacts,
+    readFacts,
     isDraining: () => findGroup(watcher.read(), host)?.phase === 'draining',
-    onStaging: (model) => {
+    onStagingModel: (model) => {
       driver.setStagingModel(model);
     },
   });
--- a/src/sidecar/engine/index.ts
+++ b/src/sidecar/engine/index.ts
@@ -1,7 +1,7 @@
 export { EngineController, type EngineEvent } from './engine-controller.js';
 export { EngineDriver, type EngineDriverOptions } from './engine-driver.js';
 export type {
-  EngineAnswer,
+  EngineStatusResult,
   EngineOrder,
   EnginePort,
   EngineStatus,
--- a/src/sidecar/index.ts
+++ b/src/sidecar/index.ts
@@ -4,7 +4,7 @@
   EngineController,
   type EngineEvent,
   type EngineOrder,
-  type EngineAnswer,
+  type EngineStatusResult,
   type EnginePort,
   type EngineSidecar,
   type EngineSidecarOptions,
--- a/src/sidecar/shell/lease-lead-driver.ts
+++ b/src/sidecar/shell/lease-lead-driver.ts
@@ -64,7 +64,13 @@
   constructor(options: LeaseLeadDriverOptions) {
     this.#options = options;
     const { group, incarnation, duration } = options;
-    this.#lead = new LeaseLead({ group, incarnation, duration, confirmBatch, confirmTimeout });
+    this.#lead = new LeaseLead({
+      group,
+      incarnation,
+      duration,
+      confirmBatchDelay: confirmBatch,
+      confirmTimeout,
+    });
   }
 
   get group(): Group {
--- a/src/sidecar/shell/report-client.ts
+++ b/src/sidecar/shell/report-client.ts
@@ -14,8 +14,8 @@
   type HostReport as HostReportMessage,
 } from '../../generated/pistachiospoke/v1/control_pb.js';
 import type { HostFacts } from '../../model/index.js';
-import { ReconnectPacing } from '../../watch/index.js';
-import { MessageQueue, StreamSilence, type RpcClientPool } from '../../wire/index.js';
+import { ReconnectBackoff } from '../../watch/index.js';
+import { MessageQueue, StreamIdleTimeout, type RpcClientPool } from '../../wire/index.js';
 
 /** Reports to one control host at a time: facts when they change, otherwise small periodic heartbeats. */
 
@@ -41,14 +41,14 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Builds the current report; `facts` is always set. */
-  readonly describe: () => ReportContent;
+  readonly buildReport: () => ReportContent;
 }
 
 export class ReportClient implements ManagedPart {
   readonly name = 'report client';
   readonly #options: ReportClientOptions;
   readonly #closing = new AbortController();
-  readonly #pacing: ReconnectPacing;
+  readonly #pacing: ReconnectBackoff;
   #nextControlIndex: number;
   #queue: MessageQueue<HostReportMessage> | undefined;
   #lastSentFacts = '';
@@ -56,14 +56,14 @@
   #sequence = 0;
   #factsSequence = 0;
   #heartbeatTimer: NodeJS.Timeout | undefined;
-  readonly #silence: StreamSilence;
+  readonly #silence: StreamIdleTimeout;
   #running: Promise<void> | undefined;
 
   constructor(options: ReportClientOptions) {
     this.#options = options;
     this.#nextControlIndex = options.random.integerBelow(options.control.length);
-    this.#pacing = new ReconnectPacing(options.random);
-    this.#silence = new StreamSilence(options.clients, acknowledgementTimeout);
+    this.#pacing = new ReconnectBackoff(options.random);
+    this.#silence = new StreamIdleTimeout(options.clients, acknowledgementTimeout);
   }
 
   open(): void {
@@ -101,7 +101,7 @@
       } catch (error) {
         logger.info({ address, error: String(error) }, 'report stream ended');
       }
-      this.#silence.end();
+      this.#silence.clear();
       if (!this.#isClosing()) {
         if (clock.monotonic() - openedAt > stableStreamAge) {
           this.#pacing.reset();
@@ -113,11 +113,11 @@
 
   async #runStream(address: string, queue: MessageQueue<HostReportMessage>): Promise<void> {
     const stream = new AbortController();
-    this.#silence.expect(address, stream);
+    this.#silence.restart(address, stream);
     const client = this.#options.clients.client(ControlService, address);
     const answers = client.report(queue, { signal: stream.signal })[Symbol.asyncIterator]();
     while ((await answers.next()).done !== true) {
-      this.#silence.expect(address, stream);
+      this.#silence.restart(address, stream);
     }
   }
 
@@ -127,7 +127,7 @@
 
   /** Heartbeats are always sent; facts only if they differ from those last sent on this stream. */
   #send(isHeartbeat: boolean): void {
-    const { facts, ...rest } = this.#options.describe();
+    const { facts, ...rest } = this.#options.buildReport();
     const factsText = JSON.stringify(facts);
     const restText = JSON.stringify(rest);
     const isChanged = factsText !== this.#lastSentFacts;
--- a/src/sidecar/shell/sidecar-process.ts
+++ b/src/sidecar/shell/sidecar-process.ts
@@ -15,7 +15,7 @@
 import type { SidecarSettings } from '../../settings/index.js';
 import { ControlWatcher } from '../../watch/index.js';
 import { createRpcServer, RpcClientPool } from '../../wire/index.js';
-import { AttemptService, HttpUpstreamCaller, type GroupAdmission } from '../attempts/index.js';
+import { AttemptService, HttpUpstreamClient, type GroupAdmission } from '../attempts/index.js';
 import { createAnnounceServer, UpstreamMonitor, type UpstreamState } from '../upstream/index.js';
 import { runDrain } from './drain-runner.js';
 import { GroupLeader } from './group-leader.js';
@@ -71,7 +71,7 @@
     this.#writeWatched = this.#board.own('watched');
     this.#writeUpstream = this.#board.own('upstream');
     this.#writeStop = this.#board.own('stop');
-    this.#reportClient = new ReportClient({ ...shared, describe: () => this.#buildReport() });
+    this.#reportClient = new ReportClient({ ...shared, buildReport: () => this.#buildReport() });
     this.#member = new LeaseMemberDriver({ ...shared, longestLease: defaultLongestLease });
     const onHealthChange = () => {
       this.#updateGroupMetrics();
@@ -95,7 +95,7 @@
       noticeRevision: (revision) => {
         this.#watcher.noticeRevision(revision);
       },
-      upstream: new HttpUpstreamCaller(() => this.#findUpstreamUrl()),
+      upstream: new HttpUpstreamClient(() => this.#findUpstreamUrl()),
       observe: (result) => {
         this.#metrics.recordAttempt(result);
       },
--- a/src/storage/usable-folder.ts
+++ b/src/storage/writable-folder.ts
@@ -1,7 +1,7 @@
 import { accessSync, constants, mkdirSync } from 'node:fs';
 
 /** Creates the folder if it is missing; returns whether this process may write to it. */
-export function isFolderUsable(path: string): boolean {
+export function ensureFolderWritable(path: string): boolean {
   try {
     mkdirSync(path, { recursive: true });
     accessSync(path, constants.W_OK);
--- a/src/watch/control-watcher.ts
+++ b/src/watch/control-watcher.ts
@@ -10,9 +10,9 @@
 } from '../common/index.js';
 import { ControlService, type WatchResponse } from '../generated/pistachiospoke/v1/control_pb.js';
 import type { Revision, WatchedState, WatchedStateSource } from '../model/index.js';
-import { decodeGroup, StreamSilence, type RpcClientPool } from '../wire/index.js';
-import { ReconnectPacing } from './reconnect-pacing.js';
-import { WatchedStateKeeper, type WatchEvent } from './watched-state-keeper.js';
+import { decodeGroup, StreamIdleTimeout, type RpcClientPool } from '../wire/index.js';
+import { ReconnectBackoff } from './reconnect-backoff.js';
+import { WatchedStateTracker, type WatchEvent } from './watched-state-tracker.js';
 
 /** Watch client of gateways and sidecars: streams from one control host and switches to another when that fails. */
 
@@ -37,22 +37,22 @@
 export class ControlWatcher implements ManagedPart, WatchedStateSource {
   readonly name = 'control watcher';
   readonly #options: ControlWatcherOptions;
-  readonly #tracker = new WatchedStateKeeper();
+  readonly #tracker = new WatchedStateTracker();
   readonly #listeners = new Set<(state: WatchedState) => void>();
-  readonly #backoff: ReconnectPacing;
+  readonly #backoff: ReconnectBackoff;
   #addressIndex: number;
   /** Control host and revision of the last acknowledgement, as `host/revision`. */
   #acknowledged = '';
   #stream: AbortController | undefined;
-  readonly #idleTimeout: StreamSilence;
+  readonly #idleTimeout: StreamIdleTimeout;
   readonly #closing = new AbortController();
   #running: Promise<void> | undefined;
 
   constructor(options: ControlWatcherOptions) {
     this.#options = options;
     this.#addressIndex = options.random.integerBelow(options.control.length);
-    this.#backoff = new ReconnectPacing(options.random);
-    this.#idleTimeout = new StreamSilence(options.clients, streamIdleLimit);
+    this.#backoff = new ReconnectBackoff(options.random);
+    this.#idleTimeout = new StreamIdleTimeout(options.clients, streamIdleLimit);
   }
 
   /** An arrow function, because callers pass it around without its object. */
@@ -92,7 +92,7 @@
           this.#options.logger.info({ address, error: String(error) }, 'watch ended');
         }
       }
-      this.#idleTimeout.end();
+      this.#idleTimeout.clear();
       if (!this.#isClosing()) {
         await pause(this.#backoff.next(), this.#closing.signal);
       }
@@ -117,7 +117,7 @@
     const { clients, watcher, kind } = this.#options;
     // A restarted control host has lost earlier acknowledgements.
     this.#acknowledged = '';
-    this.#idleTimeout.expect(address, stream);
+    this.#idleTimeout.restart(address, stream);
     const responses = clients
       .client(ControlService, address)
       .watch(
@@ -126,7 +126,7 @@
       );
     this.#tracker.handle({ type: 'connected' });
     for await (const response of responses) {
-      this.#idleTimeout.expect(address, stream);
+      this.#idleTimeout.restart(address, stream);
       if (!this.#applyResponse(response)) {
         this.#options.logger.info({ address }, 'control host is behind; switching to another');
         stream.abort();
--- a/src/watch/index.ts
+++ b/src/watch/index.ts
@@ -1,7 +1,11 @@
 export { ControlWatcher, type ControlWatcherOptions } from './control-watcher.js';
 export { decodeRoutingEvents } from './decode-routing-event.js';
-export { ReconnectPacing } from './reconnect-pacing.js';
-export { WatchedStateKeeper, type WatchEvent, type WatchVerdict } from './watched-state-keeper.js';
+export { ReconnectBackoff } from './reconnect-backoff.js';
+export {
+  WatchedStateTracker,
+  type WatchEvent,
+  type WatchVerdict,
+} from './watched-state-tracker.js';
 export {
   emptyRoutingView,
   RoutingStateTracker,
--- a/src/watch/reconnect-pacing.ts
+++ b/src/watch/reconnect-backoff.ts
@@ -12,7 +12,7 @@
  * each request the whole state, and the control hosts would answer none in time. Jitter spreads the attempts out; growing delays
  * reduce the load.
  */
-export class ReconnectPacing {
+export class ReconnectBackoff {
   readonly #random: RandomSource;
   readonly #maximumDelay: Milliseconds;
   #ceiling: Milliseconds = initialDelay;
--- a/src/watch/routing-state-tracker.ts
+++ b/src/watch/routing-state-tracker.ts
@@ -5,7 +5,7 @@
   type Instance,
   type RoutingDocument,
 } from '../routing/index.js';
-import type { WatchVerdict } from './watched-state-keeper.js';
+import type { WatchVerdict } from './watched-state-tracker.js';
 
 /** Builds the routing state of a watcher from the events that control hosts send; free of I/O. */
 
@@ -20,7 +20,7 @@
   /** False until the first complete state has arrived. */
   readonly isSynchronized: boolean;
   /** When a control host in contact with a quorum last confirmed that this state is current; undefined if that never happened. */
-  readonly vouchedAt: Milliseconds | undefined;
+  readonly confirmedAt: Milliseconds | undefined;
   /** `ip:port` of the leader; empty while none is known. */
   readonly leader: string;
   /** `ip:port` of the voters in the last status message. */
@@ -54,7 +54,7 @@
   engineGroups: new Map(),
   quarantined: new Set(),
   isSynchronized: false,
-  vouchedAt: undefined,
+  confirmedAt: undefined,
   leader: '',
   voters: [],
 };
@@ -169,8 +169,8 @@
     const { isFresh, leader, voters, now } = status;
     const isConfirmed = isFresh && this.#incoming === undefined;
     const isNewLeader = leader !== this.#view.leader;
-    const vouchedAt = isConfirmed ? now : this.#view.vouchedAt;
-    this.#view = { ...this.#view, leader, voters, vouchedAt };
+    const confirmedAt = isConfirmed ? now : this.#view.confirmedAt;
+    this.#view = { ...this.#view, leader, voters, confirmedAt };
     if (!isFresh && this.#incoming === undefined) {
       return 'leave';
     }
--- a/src/watch/routing-watcher.ts
+++ b/src/watch/routing-watcher.ts
@@ -8,9 +8,9 @@
   type RandomSource,
 } from '../common/index.js';
 import { RoutingService } from '../generated/pistachiospoke/v1/routing_pb.js';
-import { StreamSilence, type RpcClientPool } from '../wire/index.js';
+import { StreamIdleTimeout, type RpcClientPool } from '../wire/index.js';
 import { decodeRoutingEvents } from './decode-routing-event.js';
-import { ReconnectPacing } from './reconnect-pacing.js';
+import { ReconnectBackoff } from './reconnect-backoff.js';
 import {
   RoutingStateTracker,
   type RoutingEvent,
@@ -43,20 +43,20 @@
   readonly #options: RoutingWatcherOptions;
   readonly #tracker = new RoutingStateTracker();
   readonly #listeners = new Set<(view: RoutingView) => void>();
-  readonly #backoff: ReconnectPacing;
+  readonly #backoff: ReconnectBackoff;
   readonly #closing = new AbortController();
   #controlAddresses: readonly string[];
   #addressIndex: number;
   #stream: AbortController | undefined;
-  readonly #idleTimeout: StreamSilence;
+  readonly #idleTimeout: StreamIdleTimeout;
   #running: Promise<void> | undefined;
 
   constructor(options: RoutingWatcherOptions) {
     this.#options = options;
     this.#controlAddresses = options.control;
     this.#addressIndex = options.random.integerBelow(options.control.length);
-    this.#backoff = new ReconnectPacing(options.random, maximumReconnectDelay);
-    this.#idleTimeout = new StreamSilence(options.clients, streamIdleLimit);
+    this.#backoff = new ReconnectBackoff(options.random, maximumReconnectDelay);
+    this.#idleTimeout = new StreamIdleTimeout(options.clients, streamIdleLimit);
   }
 
   /** An arrow function, because callers pass it around without its object. */
@@ -97,7 +97,7 @@
           logger.warn({ address, error: String(error) }, 'routing watch failed');
         }
       }
-      this.#idleTimeout.end();
+      this.#idleTimeout.clear();
       if (!this.#isClosing()) {
         await pause(this.#backoff.next(), this.#closing.signal);
       }
@@ -121,14 +121,14 @@
 
   async #watch(address: string, stream: AbortController): Promise<void> {
     const { clients, watcher, kind, logger } = this.#options;
-    this.#idleTimeout.expect(address, stream);
+    this.#idleTimeout.restart(address, stream);
     const version = BigInt(this.#tracker.read().table?.document.version ?? 0);
     const responses = clients
       .client(RoutingService, address)
       .watch({ watcher, kind, version }, { signal: stream.signal });
     this.#tracker.handle({ type: 'connected' });
     for await (const response of responses) {
-      this.#idleTimeout.expect(address, stream);
+      this.#idleTimeout.restart(address, stream);
       const events = decodeRoutingEvents(response, this.#options.clock.monotonic());
       if (!this.#applyEvents(events, address)) {
         logger.warn({ address }, 'control host is behind; switching to another');
--- a/src/watch/watched-state-keeper.ts
+++ b/src/watch/watched-state-tracker.ts
@@ -31,7 +31,7 @@
  * A control host that lags or is partitioned sends an older state; applying it would revert an accepted change.
  * The watcher leaves such a host as soon as its state turns out to be older than the current one.
  */
-export class WatchedStateKeeper {
+export class WatchedStateTracker {
   #state: WatchedState = {
     revision: 0,
     configuration: emptyConfiguration,
--- a/src/wire/compression.ts
+++ b/src/wire/compression.ts
@@ -2,4 +2,4 @@
  * Smallest message in bytes that is compressed.
  * Compression pays off for whole configurations; compressing a frame of tokens costs more CPU time than sending it.
  */
-export const smallestCompressed = 16 * 1024;
+export const compressionThreshold = 16 * 1024;
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -8,8 +8,8 @@
   encodeGroupHealth,
   encodeHostFacts,
 } from './codecs.js';
-export { smallestCompressed } from './compression.js';
-export { StreamSilence } from './stream-silence.js';
+export { compressionThreshold } from './compression.js';
+export { StreamIdleTimeout } from './stream-idle-timeout.js';
 export { decodeUpstreamLimits, encodeUpstreamLimits } from './upstream-limits.js';
 export { MessageQueue } from './message-queue.js';
 export { RpcClientPool } from './rpc-client.js';
--- a/src/wire/rpc-client.ts
+++ b/src/wire/rpc-client.ts
@@ -12,7 +12,7 @@
 import { createConnectTransport, Http2SessionManager } from '@connectrpc/connect-node';
 
 import { splitAddress, type Milliseconds } from '../common/index.js';
-import { smallestCompressed } from './compression.js';
+import { compressionThreshold } from './compression.js';
 
 /** Connections to other processes of the system: one HTTP/2 session per address. */
 
@@ -85,7 +85,7 @@
       baseUrl,
       httpVersion: '2',
       sessionManager,
-      compressMinBytes: smallestCompressed,
+      compressMinBytes: compressionThreshold,
       interceptors: [failWhenRetired(retirement.signal)],
     });
     const connection = { transport, sockets, retirement };
--- a/src/wire/rpc-server.ts
+++ b/src/wire/rpc-server.ts
@@ -5,7 +5,7 @@
 import { connectNodeAdapter } from '@connectrpc/connect-node';
 
 import { openServer, type ManagedPart } from '../common/index.js';
-import { smallestCompressed } from './compression.js';
+import { compressionThreshold } from './compression.js';
 
 /** RPC server for calls between processes of the system: Connect over HTTP/2 without TLS. */
 
@@ -22,7 +22,7 @@
 export function createRpcServer(options: RpcServerOptions): ManagedPart {
   const sessions = new Set<ServerHttp2Session>();
   const server = createServer(
-    connectNodeAdapter({ routes: options.routes, compressMinBytes: smallestCompressed }),
+    connectNodeAdapter({ routes: options.routes, compressMinBytes: compressionThreshold }),
   );
   const sockets = new Set<Socket>();
   server.on('connection', (socket: Socket) => {
--- a/src/wire/stream-silence.ts
+++ b/src/wire/stream-idle-timeout.ts
@@ -6,7 +6,7 @@
  * An open connection can go silent for good. Without this limit a watch would wait forever and miss changes, and reports would be
  * lost without an error. The connection is retired as well, because its other streams are silent too.
  */
-export class StreamSilence {
+export class StreamIdleTimeout {
   readonly #clients: RpcClientPool;
   readonly #limit: Milliseconds;
   #timer: NodeJS.Timeout | undefined;
@@ -17,7 +17,7 @@
   }
 
   /** Restarts the timer for the next message; called when the stream opens and after each message. */
-  expect(address: string, stream: AbortController): void {
+  restart(address: string, stream: AbortController): void {
     clearTimeout(this.#timer);
     this.#timer = setTimeout(() => {
       this.#clients.retire(address);
@@ -26,7 +26,7 @@
   }
 
   /** Stops the timer; called when the stream has ended. */
-  end(): void {
+  clear(): void {
     clearTimeout(this.#timer);
   }
 }
