--- a/__tests__/platform/deployment.ts
+++ b/__tests__/platform/deployment.ts
@@ -3,13 +3,13 @@
 import { ProgramGroup, reservePort, type RunningProgram } from '../support/index.js';
 import { TestEngine } from './test-engine.js';
 
-/** The built programs for the platform as processes, with engines of the test beside the sidecars. */
+/** Runs the built programs for the platform as processes, with a test engine next to each sidecar. */
 
-/** The first three form the log; the last one is started later, in the place of another. */
+/** The first three are the initial members of the log; the last one is started later as a replacement. */
 const controlHosts = ['127.0.0.1', '127.0.0.2', '127.0.0.3', '127.0.0.4'];
-const firstControlCount = 3;
+const initialControlCount = 3;
 const host = 'desk.example';
-const key = 'key-1';
+const apiKey = 'key-1';
 
 interface Ports {
   readonly internal: number;
@@ -29,7 +29,7 @@
   readonly #ports: Ports;
   readonly #control = new Map<string, RunningProgram>();
   readonly #sidecars: RunningProgram[] = [];
-  readonly #settings = new Map<string, string>();
+  readonly #settingsFiles = new Map<string, string>();
   readonly #gatewayAddresses: string[] = [];
 
   private constructor(group: ProgramGroup, ports: Ports, engines: readonly TestEngine[]) {
@@ -61,7 +61,7 @@
     await Promise.all(this.engines.map((engine) => engine.crash()));
   }
 
-  /** A call of an operator or a runner to one control host. */
+  /** Calls one control host as an operator or a runner does. */
   async callControl(
     index: number,
     method: string,
@@ -79,7 +79,7 @@
       body,
       headers: {
         host,
-        authorization: `Bearer ${key}`,
+        authorization: `Bearer ${apiKey}`,
         'x-attempt-id': requestId,
         'x-deadline-ms': '20000',
         'x-model': 'small',
@@ -117,11 +117,11 @@
           },
         },
       ],
-      tenants: [{ name: 'branch', api_keys: [key] }],
+      tenants: [{ name: 'branch', api_keys: [apiKey] }],
     });
   }
 
-  /** The control host that leads, by its own log. */
+  /** Index of the control host that is the leader according to its own log output; -1 if there is none. */
   findLeader(): number {
     return controlHosts.findIndex((each) => {
       const lines = this.#control.get(each)?.output.match(/"view":\{"type":"(\w+)"/g) ?? [];
@@ -131,9 +131,9 @@
     });
   }
 
-  /** Settings of a control host. */
+  /** Path of the settings file of a control host. */
   settingsFile(index: number): string {
-    return this.#settings.get(controlHosts[index] ?? '') ?? '';
+    return this.#settingsFiles.get(controlHosts[index] ?? '') ?? '';
   }
 
   killControl(index: number): void {
@@ -144,13 +144,13 @@
     const name = controlHosts[index] ?? '';
     const program = this.group.start(
       'platform/control',
-      ['--settings', this.#settings.get(name) ?? ''],
+      ['--settings', this.#settingsFiles.get(name) ?? ''],
       { label: `control ${name}` },
     );
     this.#control.set(name, program);
   }
 
-  /** Kills the sidecar beside an engine, which goes on, and starts it again. */
+  /** Kills the sidecar of an engine and starts it again, while the engine keeps running. */
   async restartSidecar(index: number): Promise<RunningProgram> {
     const before = this.#sidecars[index];
     before?.signal('SIGKILL');
@@ -158,25 +158,25 @@
     this.#startSidecar(index);
     const program = this.#sidecars[index];
     if (program === undefined) {
-      throw new Error(`there is no sidecar ${index}`);
+      throw new Error(`no sidecar with index ${index}`);
     }
     return program;
   }
 
   get #seeds(): object {
     const addresses = controlHosts
-      .slice(0, firstControlCount)
+      .slice(0, initialControlCount)
       .map((each) => `${each}:${this.#ports.operators}`);
     return { addresses, port: this.#ports.internal };
   }
 
   async #startControl(): Promise<void> {
-    for (let index = 0; index < firstControlCount; index += 1) {
+    for (let index = 0; index < initialControlCount; index += 1) {
       await this.startControl(index);
     }
   }
 
-  /** Starts a control host with an empty disk. */
+  /** Starts a control host with an empty data folder. */
   async startControl(index: number): Promise<void> {
     const name = controlHosts[index] ?? '';
     const control = {
@@ -189,7 +189,7 @@
     };
     const settings = { operators: `${name}:${this.#ports.operators}`, control };
     const file = await this.group.write(`control-${index}.json`, JSON.stringify(settings));
-    this.#settings.set(name, file);
+    this.#settingsFiles.set(name, file);
     this.restartControl(index);
   }
 
@@ -203,14 +203,14 @@
         seeds: this.#seeds,
       };
       const file = await this.group.write(`sidecar-${index}.json`, JSON.stringify(settings));
-      this.#settings.set(nameSidecar(index), file);
+      this.#settingsFiles.set(nameSidecar(index), file);
       this.#startSidecar(index);
     }
   }
 
   #startSidecar(index: number): void {
     const label = nameSidecar(index);
-    const file = this.#settings.get(label) ?? '';
+    const file = this.#settingsFiles.get(label) ?? '';
     this.#sidecars[index] = this.group.start('platform/sidecar', ['--settings', file], { label });
   }
 
@@ -241,7 +241,7 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** By Node's client, because fetch sets the Host field itself. */
+/** Uses undici's request, because fetch sets the Host field itself. */
 async function call(url: string, options: CallOptions): Promise<CallResult> {
   const { request } = await import('undici');
   try {
--- a/__tests__/platform/engine-client.test.ts
+++ b/__tests__/platform/engine-client.test.ts
@@ -13,7 +13,7 @@
   server = undefined;
 });
 
-async function ask(listener?: RequestListener): Promise<string> {
+async function readStatusType(listener?: RequestListener): Promise<string> {
   const port = await reservePort();
   if (listener !== undefined) {
     server = createServer(listener);
@@ -27,19 +27,19 @@
 }
 
 /**
- * An engine whose connection was reset was reported in the same words as one that had ended, and the members of its group were freed beside
- * it. Only a refused connection says that nothing listens there.
+ * Guards against reporting an engine whose connection was reset like one that has ended: the other members of its group were freed then,
+ * although the engine might still run. Only a refused connection shows that nothing listens there.
  */
-describe('a question to an engine', () => {
-  it('is refused where nothing listens', async () => {
-    expect(await ask()).toBe('refused');
+describe('reading the status of an engine', () => {
+  it('is refused if nothing listens', async () => {
+    expect(await readStatusType()).toBe('refused');
   });
 
-  it('is unanswered where the connection breaks', async () => {
-    expect(await ask((request) => request.socket.destroy())).toBe('unanswered');
+  it('is unanswered if the connection is reset', async () => {
+    expect(await readStatusType((request) => request.socket.destroy())).toBe('unanswered');
   });
 
-  it('is unanswered where no answer comes', async () => {
-    expect(await ask(() => undefined)).toBe('unanswered');
+  it('is unanswered if no response arrives', async () => {
+    expect(await readStatusType(() => undefined)).toBe('unanswered');
   });
 });
--- a/__tests__/platform/test-engine.ts
+++ b/__tests__/platform/test-engine.ts
@@ -1,9 +1,9 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
 
-/** A model runner for tests, as the platform's pages describe it: reports, orders, streams. */
+/** A fake model runner that follows the platform's documentation: it reports its state, executes orders and streams responses. */
 
-interface EngineGroupState {
+interface GroupMembership {
   readonly name: string;
   readonly epoch: number;
   readonly peers: readonly string[];
@@ -27,11 +27,11 @@
 export const crashingContent = 'crash the engine';
 
 export class TestEngine {
-  readonly #name: string;
-  #starts = 1;
-  /** Orders to join that came while the group it is in was open here. */
+  readonly #initialId: string;
+  #startCount = 1;
+  /** Descriptions of the join orders received while the engine's current group was open. */
   readonly splits: string[] = [];
-  /** Requests that began to run here. */
+  /** Attempt ids of the requests that the engine began to run. */
   readonly runs: string[] = [];
   /** Attempt ids of the requests that crashed this engine. */
   readonly crashes: string[] = [];
@@ -39,25 +39,25 @@
   rateLimit: number | undefined;
   /** Arrival time of each request, in milliseconds of the monotonic clock. */
   readonly arrivals: number[] = [];
-  /** Time, in milliseconds, that it takes to answer a question about itself. */
+  /** Delay of the report in milliseconds. */
   reportDelay = 0;
   readonly #host: string;
   readonly #port: number;
   #server: Server | undefined;
-  #restart: NodeJS.Timeout | undefined;
-  #group: EngineGroupState | undefined;
+  #restartTimer: NodeJS.Timeout | undefined;
+  #group: GroupMembership | undefined;
   #staged: readonly string[] = [];
-  #sequence = 0;
+  #orderCount = 0;
 
   constructor(id: string, host: string, port: number) {
-    this.#name = id;
+    this.#initialId = id;
     this.#host = host;
     this.#port = port;
   }
 
   /** Changes at each restart after a crash. */
   get id(): string {
-    return this.#starts === 1 ? this.#name : `${this.#name}-${this.#starts}`;
+    return this.#startCount === 1 ? this.#initialId : `${this.#initialId}-${this.#startCount}`;
   }
 
   get address(): string {
@@ -74,7 +74,7 @@
 
   open(): Promise<void> {
     const server = createServer((request, response) => {
-      void this.#serve(request, response);
+      void this.#handle(request, response);
     });
     this.#server = server;
     return new Promise((resolve) => {
@@ -82,9 +82,9 @@
     });
   }
 
-  /** Ends at once, with all its connections. */
+  /** Stops immediately and closes all connections. */
   async crash(): Promise<void> {
-    clearTimeout(this.#restart);
+    clearTimeout(this.#restartTimer);
     const server = this.#server;
     this.#server = undefined;
     this.#group = undefined;
@@ -104,15 +104,15 @@
     response.writeHead(200, { 'content-type': 'text/event-stream', 'x-attempt-id': id });
     response.flushHeaders();
     await this.crash();
-    this.#starts += 1;
+    this.#startCount += 1;
     this.#staged = [];
-    this.#sequence = 0;
-    this.#restart = setTimeout(() => {
+    this.#orderCount = 0;
+    this.#restartTimer = setTimeout(() => {
       void this.open();
     }, restartDelay);
   }
 
-  async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     let body = '';
     for await (const chunk of request) {
       body += String(chunk);
@@ -121,26 +121,26 @@
     switch (url) {
       case '/report':
         await pause(this.reportDelay);
-        response.end(JSON.stringify(this.#describe()));
+        response.end(JSON.stringify(this.#createReport()));
         return;
       case '/healthz':
         response.writeHead(200, { 'x-instance-id': this.id }).end();
         return;
       case '/order':
-        response.writeHead(this.#take(JSON.parse(body) as OrderBody)).end();
+        response.writeHead(this.#handleOrder(JSON.parse(body) as OrderBody)).end();
         return;
       default:
         this.#stream(request, body, response);
     }
   }
 
-  #describe(): object {
+  #createReport(): object {
     const { name, epoch, state } = this.#group ?? {};
     return {
       stage: 'mixed',
       models: [],
       busy: this.#group?.state === 'joining',
-      sequence: this.#sequence,
+      sequence: this.#orderCount,
       queued: 0,
       active: 0,
       fabric_domain: 'f1',
@@ -149,30 +149,30 @@
     };
   }
 
-  #take(order: OrderBody): number {
-    const isThis = this.#group?.name === order.group && this.#group?.epoch === order.epoch;
+  #handleOrder(order: OrderBody): number {
+    const isCurrentGroup = this.#group?.name === order.group && this.#group?.epoch === order.epoch;
     switch (order.op) {
       case 'join':
         return this.#join(order);
       case 'open':
-        if (!isThis || this.#group?.state !== 'ready') {
+        if (!isCurrentGroup || this.#group?.state !== 'ready') {
           return 409;
         }
         setTimeout(() => {
-          this.#enter('open', order);
+          this.#setGroupState('open', order);
         }, openDuration);
         break;
       case 'close':
-        this.#enter('ready', order);
+        this.#setGroupState('ready', order);
         break;
       case 'leave':
-        this.#group = isThis ? undefined : this.#group;
+        this.#group = isCurrentGroup ? undefined : this.#group;
         break;
       case 'stage':
         this.#staged = [order.model ?? ''];
         break;
     }
-    this.#sequence += 1;
+    this.#orderCount += 1;
     return 202;
   }
 
@@ -185,17 +185,17 @@
     }
     const { group = '', epoch = 0, peers = [] } = order;
     this.#group = { name: group, epoch, peers, state: 'joining' };
-    this.#sequence += 1;
+    this.#orderCount += 1;
     setTimeout(() => {
-      this.#enter('ready', order);
+      this.#setGroupState('ready', order);
     }, joinDuration);
     return 202;
   }
 
-  #enter(state: EngineGroupState['state'], { group, epoch }: OrderBody): void {
-    const present = this.#group;
-    if (present !== undefined && present.name === group && present.epoch === epoch) {
-      present.state = state;
+  #setGroupState(state: GroupMembership['state'], { group, epoch }: OrderBody): void {
+    const currentGroup = this.#group;
+    if (currentGroup !== undefined && currentGroup.name === group && currentGroup.epoch === epoch) {
+      currentGroup.state = state;
     }
   }
 
--- a/__tests__/platform/wire.test.ts
+++ b/__tests__/platform/wire.test.ts
@@ -56,7 +56,7 @@
 };
 
 describe('manifests', () => {
-  it('become routing documents that pass the checks', () => {
+  it('are decoded into routing documents that pass validation', () => {
     const text = JSON.stringify(manifest);
     const document = decodeManifest(text);
     expect(checkRoutingDocument(document).ok).toBe(true);
@@ -84,11 +84,11 @@
     ['cut short', JSON.stringify(manifest).slice(0, 300)],
     ['empty', ''],
     ['of another shape', '{"version":"seven"}'],
-  ])('%s are none', (_, text) => {
+  ])('%s are rejected', (_, text) => {
     expect(decodeManifest(text)).toBeUndefined();
   });
 
-  it('without a timeout are refused by the checks', () => {
+  it('without a timeout fail validation', () => {
     const routes = [{ ...manifest.routes[1], timeout_ms: 0 }];
     const document = decodeManifest(JSON.stringify({ ...manifest, routes }));
     expect(checkRoutingDocument(document).err).toBe(true);
@@ -109,7 +109,7 @@
   const decode = (changes: object) =>
     decodeHeartbeat('i-1', JSON.stringify({ ...body, ...changes }));
 
-  it('say which instance is there and whether it leaves', () => {
+  it('identify the instance and say whether it is draining', () => {
     expect(decode({})).toEqual({
       type: 'read',
       value: {
@@ -127,7 +127,7 @@
     expect(decodeHeartbeat('i-1', '{"service":"desk"}').type).toBe('unreadable');
   });
 
-  it('name the start of the runner where they are told it', () => {
+  it('contain the start time of the runner if it sends one', () => {
     const born = 1_764_728_000_123;
     expect(decode({ born })).toMatchObject({ value: { instance: { startedAt: born } } });
     expect(decodeLeave('i-1', JSON.stringify({ born }))).toEqual({
@@ -138,8 +138,8 @@
   });
 
   /**
-   * Symptom: a sound runner gets no requests any more. Somebody else wrote a heartbeat under its id, with a state that no runner has; taken
-   * as a drain, it could not be taken back.
+   * Guards against a healthy runner no longer receiving requests: someone else sent a heartbeat under its id with a state that does not
+   * exist. It was treated as a drain, which could not be undone.
    */
   it.each([
     ['a state that no runner has', { state: 'resting' }],
@@ -154,24 +154,24 @@
     ['a start that is text', { born: '1764728000123' }],
     ['no capacity', { capacity: undefined }],
     ['a list for a version', { version: [] }],
-  ])('with %s name no runner', (_, changes) => {
+  ])('with %s are rejected', (_, changes) => {
     expect(decode(changes).type).toBe('unreadable');
   });
 
   it.each(['', 'null', '[]', '7', '{"service":', '\u0000\ufffd'])(
-    'of other bytes name no runner: %j',
+    'that are not JSON objects are rejected: %j',
     (text) => {
       expect(decodeHeartbeat('i-1', text).type).toBe('unreadable');
     },
   );
 
-  it.each(['null', '[]', '{"born":"now"}', '{'])('that leave name no runner in %j', (text) => {
+  it.each(['null', '[]', '{"born":"now"}', '{'])('are rejected as leave calls: %j', (text) => {
     expect(decodeLeave('i-1', text).type).toBe('unreadable');
   });
 });
 
 describe('engines', () => {
-  it('say their group and what they stage', () => {
+  it('report their group and staged models', () => {
     const text = JSON.stringify({
       stage: 'mixed',
       models: [],
@@ -199,7 +199,7 @@
     expect(decodeReport('<html>').type).toBe('unreadable');
   });
 
-  it('are ordered with the fencing number of the group', () => {
+  it('receive orders with the fencing number of the group', () => {
     const order = {
       type: 'join' as const,
       group: 'm/1',
@@ -222,7 +222,7 @@
     [409, 'unfit'],
     [412, 'outdated'],
     [503, 'unanswered'],
-  ])('answer %i for %s', (status, outcome) => {
+  ])('respond with status %i for the outcome %s', (status, outcome) => {
     expect(decodeOrderStatus(status)).toBe(outcome);
   });
 });
--- a/__tests__/support/fleet-settings.ts
+++ b/__tests__/support/fleet-settings.ts
@@ -1,12 +1,12 @@
-/** Settings files of a small deployment on loopback, as an operator would write them. */
+/** Settings of a small deployment on loopback, in the form in which an operator writes them. */
 
-/** One process of a fleet and where it is reached. */
+/** Name and addresses of one process of a fleet. */
 export interface FleetAddresses {
   readonly name: string;
-  /** Where processes of the system connect; for a gateway its internal address. */
+  /** Address for other processes of the system; for a gateway its internal address. */
   readonly address: string;
-  /** Where callers connect (gateway), or where the upstream announces itself (sidecar); empty for control. */
-  readonly outer: string;
+  /** Address for callers (gateway) or for announcements of the upstream (sidecar); not used for control. */
+  readonly externalAddress: string;
 }
 
 export const fleetModel = 'demo-model';
@@ -26,7 +26,7 @@
 ): object {
   return {
     name: own.name,
-    ...findPlace(index),
+    ...createLocation(index),
     listen: own.address,
     voters: voters.map(({ name, address }) => ({ name, address })),
     dataFolder,
@@ -40,8 +40,8 @@
 ): object {
   return {
     name: own.name,
-    ...findPlace(index),
-    listen: own.outer,
+    ...createLocation(index),
+    listen: own.externalAddress,
     internal: own.address,
     control,
     limits: { maximumBodyBytes: 100_000 },
@@ -56,20 +56,20 @@
 ): object {
   return {
     host: own.name,
-    // One fabric domain lies in one failure domain.
-    ...findPlace(0),
+    // A fabric domain must lie within a single failure domain.
+    ...createLocation(0),
     fabricDomain: `${pool}-fabric`,
     accelerators: pool === 'llm' ? 8 : 0,
     labels: { pool },
     listen: own.address,
-    announce: own.outer,
+    announce: own.externalAddress,
     control,
     concurrency: 64,
     shutdown: quickShutdown,
   };
 }
 
-/** One model in as many groups as the hosts allow, one plain service, one client account. */
+/** One model with as many groups as the hosts allow, one plain service and one client account. */
 export function createFleetConfiguration(replicaSize: number): object {
   return {
     groups: [
@@ -95,6 +95,6 @@
   };
 }
 
-function findPlace(index: number): object {
+function createLocation(index: number): object {
   return { region: 'addis', failureDomain: failureDomains[index % failureDomains.length] };
 }
--- a/__tests__/support/fleet.ts
+++ b/__tests__/support/fleet.ts
@@ -1,4 +1,4 @@
-/** A whole deployment of built programs on loopback, with stand-in upstreams. */
+/** A complete deployment of the built programs on loopback, with stand-in upstreams. */
 import {
   createControlSettings,
   createFleetConfiguration,
@@ -19,12 +19,12 @@
   readonly engineHosts?: number;
   readonly serviceHosts?: number;
   readonly replicaSize?: number;
-  /** Between two tokens of a stand-in engine. */
+  /** Delay between two tokens of a stand-in engine. */
   readonly tokenMilliseconds?: number;
   readonly serviceAnswerMilliseconds?: number;
-  /** Called with the addresses of the control hosts; returns those that gateways and sidecars use instead, for relays. */
+  /** Receives the addresses of the control hosts and returns the relay addresses that gateways and sidecars use instead. */
   readonly relayControl?: RelayControl;
-  /** The same for the gateways alone; called once for each. */
+  /** Like `relayControl`, for gateways only; called once per gateway. */
   readonly relayGatewayControl?: (
     gateway: string,
     addresses: readonly string[],
@@ -33,12 +33,12 @@
 
 type RelayControl = (addresses: readonly string[]) => Promise<readonly string[]>;
 
-/** One process of the fleet; `restart` starts it again with the same settings and data folder. */
+/** One process of the fleet; {@link Fleet.start} restarts it with the same settings and data folder. */
 export interface FleetMember extends FleetAddresses {
   readonly program: RunningProgram;
 }
 
-interface Starter extends FleetAddresses {
+interface MemberDefinition extends FleetAddresses {
   readonly binary: string;
   readonly commandArguments: readonly string[];
 }
@@ -61,31 +61,31 @@
   serviceAnswerMilliseconds: 5,
 };
 
-/** Starts everything, waits until it serves, and ends it. */
+/** Starts all processes of a deployment, waits until they serve requests, and stops them. */
 export class Fleet {
   readonly group: ProgramGroup;
-  readonly #starters: readonly Starter[];
+  readonly #definitions: readonly MemberDefinition[];
   readonly #members = new Map<string, FleetMember>();
 
-  private constructor(group: ProgramGroup, starters: readonly Starter[]) {
+  private constructor(group: ProgramGroup, definitions: readonly MemberDefinition[]) {
     this.group = group;
-    this.#starters = starters;
+    this.#definitions = definitions;
   }
 
-  /** Starts all processes, applies the configuration and waits until model and service answer. */
+  /** Starts all processes, applies the configuration and waits until the model and the service respond. */
   static async start(options: FleetOptions = {}): Promise<Fleet> {
     const group = await ProgramGroup.create();
-    const full = { ...defaults, ...options };
-    const fleet = new Fleet(group, await describeFleet(group, full));
+    const completeOptions = { ...defaults, ...options };
+    const fleet = new Fleet(group, await defineMembers(group, completeOptions));
     try {
-      for (const { name } of fleet.#starters) {
+      for (const { name } of fleet.#definitions) {
         fleet.start(name);
       }
-      await fleet.apply(createFleetConfiguration(full.replicaSize));
-      await waitFor('the model to answer', () => fleet.#isAnswering(full.gateways));
+      await fleet.apply(createFleetConfiguration(completeOptions.replicaSize));
+      await waitFor('the model to answer', () => fleet.#isAnswering(completeOptions.gateways));
     } catch (error) {
       const ended = group.programs.filter(({ isRunning }) => !isRunning);
-      const outputs = ended.map(({ label, output }) => `${label} ended: ${output.slice(-2000)}`);
+      const outputs = ended.map(({ label, output }) => `${label} exited: ${output.slice(-2000)}`);
       await group.stop();
       throw new Error(`the fleet did not start: ${[String(error), ...outputs].join('\n')}`, {
         cause: error,
@@ -94,7 +94,7 @@
     return fleet;
   }
 
-  /** Members by kind, for example `control`, `gateway`, `sidecar`, `engine`, `service`. */
+  /** Members of one kind: `control`, `gateway`, `sidecar`, `engine` or `service`. */
   list(kind: string): readonly FleetMember[] {
     return [...this.#members.values()].filter(({ name }) => name.startsWith(`${kind}-`));
   }
@@ -107,26 +107,26 @@
     return member;
   }
 
-  /** Starts a member, or starts one again that has ended. */
+  /** Starts a member, or restarts one that has exited. */
   start(name: string): FleetMember {
-    const starter = this.#starters.find((candidate) => candidate.name === name);
-    if (starter === undefined) {
+    const definition = this.#definitions.find((candidate) => candidate.name === name);
+    if (definition === undefined) {
       throw new Error(`no member ${name}`);
     }
-    const { binary, commandArguments, address, outer } = starter;
+    const { binary, commandArguments, address, externalAddress } = definition;
     const program = this.group.start(binary, commandArguments, { label: name });
-    const member = { name, address, outer, program };
+    const member = { name, address, externalAddress, program };
     this.#members.set(name, member);
     return member;
   }
 
-  /** Runs the operators' command line against the control hosts. */
+  /** Runs the operator CLI against the control hosts. */
   runCommand(commandArguments: readonly string[]): ReturnType<ProgramGroup['run']> {
     const control = this.list('control').flatMap(({ address }) => ['--control', address]);
     return this.group.run('pistachiospoke', [...control, ...commandArguments]);
   }
 
-  /** Applies a configuration; tries again until control accepts one. */
+  /** Applies a configuration, retrying until control accepts it. */
   async apply(configuration: object): Promise<void> {
     const file = await this.group.write('configuration.jsonc', JSON.stringify(configuration));
     await waitFor('the configuration to be accepted', async () => {
@@ -138,9 +138,9 @@
     });
   }
 
-  /** Origin of a gateway for callers. */
+  /** URL origin at which callers reach a gateway. */
   origin(gateway = 1): string {
-    return `http://${this.member(`gateway-${gateway}`).outer}`;
+    return `http://${this.member(`gateway-${gateway}`).externalAddress}`;
   }
 
   chat(options: ChatOptions = {}): Promise<Response> {
@@ -196,40 +196,43 @@
   }
 }
 
-type FullOptions = typeof defaults & Pick<FleetOptions, 'relayControl' | 'relayGatewayControl'>;
+type CompleteOptions = typeof defaults & Pick<FleetOptions, 'relayControl' | 'relayGatewayControl'>;
 
-async function describeFleet(
+async function defineMembers(
   group: ProgramGroup,
-  options: FullOptions,
-): Promise<readonly Starter[]> {
+  options: CompleteOptions,
+): Promise<readonly MemberDefinition[]> {
   const controls = await reserveMembers('control', options.controls);
   const gateways = await reserveMembers('gateway', options.gateways);
   const engines = await reserveMembers('sidecar', options.engineHosts);
   const services = await reserveMembers('sidecar-desk', options.serviceHosts);
-  const direct = controls.map(({ address }) => address);
-  const control = (await options.relayControl?.(direct)) ?? direct;
-  const write = (own: FleetAddresses, binary: string, settings: object): Promise<Starter> =>
-    describeProgram(group, own, binary, settings);
+  const controlAddresses = controls.map(({ address }) => address);
+  const control = (await options.relayControl?.(controlAddresses)) ?? controlAddresses;
+  const define = (
+    own: FleetAddresses,
+    binary: string,
+    settings: object,
+  ): Promise<MemberDefinition> => defineProgram(group, own, binary, settings);
   return Promise.all([
     ...controls.map((own, index) => {
       const folder = `${group.folder}/${own.name}-data`;
-      return write(own, 'control', createControlSettings(own, index, controls, folder));
+      return define(own, 'control', createControlSettings(own, index, controls, folder));
     }),
-    ...engines.map((own) => write(own, 'sidecar', createSidecarSettings(own, 'llm', control))),
-    ...services.map((own) => write(own, 'sidecar', createSidecarSettings(own, 'desk', control))),
+    ...engines.map((own) => define(own, 'sidecar', createSidecarSettings(own, 'llm', control))),
+    ...services.map((own) => define(own, 'sidecar', createSidecarSettings(own, 'desk', control))),
     ...gateways.map(async (own, index) => {
       const ownControl = (await options.relayGatewayControl?.(own.name, control)) ?? control;
-      return write(own, 'gateway', createGatewaySettings(own, index, ownControl));
+      return define(own, 'gateway', createGatewaySettings(own, index, ownControl));
     }),
     ...engines.map((sidecar, index) =>
-      describeUpstream(`engine-${index + 1}`, sidecar, [
+      defineUpstream(`engine-${index + 1}`, sidecar, [
         'engine',
         '--checks-fencing-number',
         ...['--token-milliseconds', String(options.tokenMilliseconds)],
       ]),
     ),
     ...services.map((sidecar, index) =>
-      describeUpstream(`service-${index + 1}`, sidecar, [
+      defineUpstream(`service-${index + 1}`, sidecar, [
         'service',
         ...['--service', fleetService],
         ...['--answer-milliseconds', String(options.serviceAnswerMilliseconds)],
@@ -243,32 +246,38 @@
     Array.from({ length: count }, async (_, index) => ({
       name: `${kind}-${index + 1}`,
       address: `127.0.0.1:${await reservePort()}`,
-      outer: `127.0.0.1:${await reservePort()}`,
+      externalAddress: `127.0.0.1:${await reservePort()}`,
     })),
   );
 }
 
-async function describeProgram(
+async function defineProgram(
   group: ProgramGroup,
   own: FleetAddresses,
   binary: string,
   settings: object,
-): Promise<Starter> {
+): Promise<MemberDefinition> {
   const file = await group.write(`${own.name}.jsonc`, JSON.stringify(settings, undefined, 2));
   return { ...own, binary: `pistachiospoke-${binary}`, commandArguments: ['--settings', file] };
 }
 
-async function describeUpstream(
+async function defineUpstream(
   name: string,
   sidecar: FleetAddresses,
   commandArguments: readonly string[],
-): Promise<Starter> {
+): Promise<MemberDefinition> {
   const address = `127.0.0.1:${await reservePort()}`;
   return {
     name,
     address,
-    outer: '',
+    externalAddress: '',
     binary: 'pistachiospoke-stand-in',
-    commandArguments: [...commandArguments, '--listen', address, '--sidecar', sidecar.outer],
+    commandArguments: [
+      ...commandArguments,
+      '--listen',
+      address,
+      '--sidecar',
+      sidecar.externalAddress,
+    ],
   };
 }
--- a/__tests__/support/ports.ts
+++ b/__tests__/support/ports.ts
@@ -1,24 +1,24 @@
-/** Free loopback ports for processes that must be told their port before they start. */
+/** Reserves free loopback ports for processes whose port must be known before they start. */
 import { once } from 'node:events';
 import { createServer } from 'node:net';
 
 /**
- * Below the ports that the system gives to outgoing connections (32768 and up under Linux).
- * A port from among those can be taken by any connection between its reservation and its use: the process then
- * does not start (EADDRINUSE), seen once on a busy machine.
+ * The range lies below the ephemeral ports of outgoing connections (32768 and up on Linux).
+ * Any connection can take an ephemeral port between its reservation and its use: the process then fails to start
+ * with EADDRINUSE, as seen once on a busy machine.
  */
 const firstPort = 10_000;
 const portCount = 22_000;
-/** Test processes that run side by side begin this far apart. */
-const portsPerProcess = 499;
+/** Distance between the first ports of test processes with consecutive ids, which run in parallel. */
+const processPortStride = 499;
 
-let next = (process.pid * portsPerProcess) % portCount;
+let nextOffset = (process.pid * processPortStride) % portCount;
 
-/** A loopback port that was free just now and that no other call of this process was given. */
+/** Returns a loopback port that is currently free and that this process has not reserved before. */
 export async function reservePort(): Promise<number> {
   for (;;) {
-    const port = firstPort + next;
-    next = (next + 1) % portCount;
+    const port = firstPort + nextOffset;
+    nextOffset = (nextOffset + 1) % portCount;
     if (await isFree(port)) {
       return port;
     }
--- a/__tests__/support/programs.ts
+++ b/__tests__/support/programs.ts
@@ -1,4 +1,4 @@
-/** Starts the built programs for tests and benches, and ends only what it started. */
+/** Starts the built programs for tests and benchmarks, and stops only the processes that it started. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { existsSync } from 'node:fs';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
@@ -13,18 +13,19 @@
 }
 
 export interface ProgramOptions {
-  /** Told apart in messages of failed tests; the program's name by default. */
+  /** Identifies the program in messages of failed tests; the program's name by default. */
   readonly label?: string;
   readonly environment?: Readonly<Record<string, string>>;
-  /** Flags for Node itself, before the program. */
+  /** Command-line flags for Node itself. */
   readonly nodeFlags?: readonly string[];
 }
 
-/** How much of a program's output is kept, in characters. */
+/** Maximum number of characters kept of a program's output. */
 const outputLimit = 2_000_000;
-const stopPatience = 30_000;
+/** Time after SIGTERM until a program is killed. */
+const stopTimeout = 30_000;
 
-/** One started program. */
+/** A program started by a {@link ProgramGroup}. */
 export class RunningProgram {
   readonly label: string;
   readonly #child: ChildProcess;
@@ -55,7 +56,7 @@
     return this.#child.pid;
   }
 
-  /** What it wrote to standard output and error so far. */
+  /** Combined standard output and error so far. */
   get output(): string {
     return this.#output;
   }
@@ -64,7 +65,7 @@
     return this.#exit === undefined;
   }
 
-  /** Sends a signal: SIGTERM stops it gracefully, SIGSTOP freezes it, SIGCONT lets it go on, SIGKILL is a crash. */
+  /** Sends a signal: SIGTERM stops the program gracefully, SIGSTOP suspends it, SIGCONT resumes it, SIGKILL simulates a crash. */
   signal(signal: NodeJS.Signals): void {
     if (this.isRunning) {
       this.#child.kill(signal);
@@ -75,31 +76,31 @@
     return this.#exited;
   }
 
-  /** Waits until the output matches. */
+  /** Waits until the output matches the pattern; throws if the program exits first. */
   waitForOutput(pattern: RegExp): Promise<RegExpMatchArray> {
     return waitFor(`${this.label} to write ${String(pattern)}`, () => {
       const match = this.#output.match(pattern);
       if (match === null && !this.isRunning) {
-        throw new Error(`${this.label} ended: ${this.#output.slice(-2000)}`);
+        throw new Error(`${this.label} exited: ${this.#output.slice(-2000)}`);
       }
       return match ?? undefined;
     });
   }
 
-  /** Stops it: SIGTERM first; SIGKILL when it does not end, which the answer then shows. */
+  /** Stops the program with SIGTERM, or with SIGKILL if it does not exit in time; the returned exit tells which. */
   async stop(): Promise<ProgramExit> {
     this.signal('SIGCONT');
     this.signal('SIGTERM');
     const killer = setTimeout(() => {
       this.signal('SIGKILL');
-    }, stopPatience);
+    }, stopTimeout);
     const exit = await this.#exited;
     clearTimeout(killer);
     return exit;
   }
 }
 
-/** Owns the programs and the folder of one test; `stop` ends and removes all of them. */
+/** Owns the programs and the temporary folder of one test; `stop` stops the programs and removes the folder. */
 export class ProgramGroup {
   readonly folder: string;
   readonly #programs: RunningProgram[] = [];
@@ -146,7 +147,7 @@
     return program;
   }
 
-  /** Runs a program to its end, for the command line. */
+  /** Runs a program until it exits; used for the CLI. */
   async run(
     name: string,
     commandArguments: readonly string[],
@@ -156,7 +157,7 @@
     return { exit, output: program.output };
   }
 
-  /** Stops everything, last started first, and removes the folder. */
+  /** Stops all programs in reverse order of their start and removes the folder. */
   async stop(): Promise<void> {
     for (const program of [...this.#programs].reverse()) {
       if (program.isRunning) {
--- a/__tests__/support/relay.test.ts
+++ b/__tests__/support/relay.test.ts
@@ -14,31 +14,31 @@
 });
 
 describe('the swallowing relay', () => {
-  it('silences open connections for good while new ones work', async () => {
+  it('permanently silences open connections while new ones work', async () => {
     const relay = await openRelayToEcho();
-    const first = await dial(relay.address);
+    const first = await connectClient(relay.address);
     first.socket.write('one');
     await waitFor('the echo', () => first.received() === 'one');
 
     expect(relay.swallowOpenConnections()).toBe(1);
     first.socket.write('two');
-    const second = await dial(relay.address);
+    const second = await connectClient(relay.address);
     second.socket.write('three');
     await waitFor('the echo of the new one', () => second.received() === 'three');
     expect(first.received()).toBe('one');
     expect(first.socket.destroyed).toBe(false);
   });
 
-  it('refuses new connections and resets open ones in a refusing mode', async () => {
+  it('refuses new connections and resets open ones in refuse mode', async () => {
     const relay = await openRelayToEcho();
-    const first = await dial(relay.address);
+    const first = await connectClient(relay.address);
     first.socket.write('one');
     await waitFor('the echo', () => first.received() === 'one');
 
     relay.setMode('refuse');
     await waitFor('the reset', () => first.socket.destroyed);
     relay.setMode('carry');
-    const second = await dial(relay.address);
+    const second = await connectClient(relay.address);
     second.socket.write('two');
     await waitFor('the echo after healing', () => second.received() === 'two');
   });
@@ -58,7 +58,7 @@
   return relay;
 }
 
-async function dial(
+async function connectClient(
   address: string,
 ): Promise<{ readonly socket: Socket; readonly received: () => string }> {
   const socket = connect({ host: '127.0.0.1', port: Number(address.split(':')[1]) });
--- a/__tests__/support/relay.ts
+++ b/__tests__/support/relay.ts
@@ -1,18 +1,18 @@
-/** A TCP relay that can lose track of open connections, as a firewall or balancer between two hosts does. */
+/** A TCP relay that can silently drop the traffic of open connections, as a firewall or load balancer that lost their state does. */
 import { once } from 'node:events';
 import { connect, createServer, type Server, type Socket } from 'node:net';
 
-/** What happens to bytes: `carry` them; `swallow` them without a word, in both directions; `refuse` new connections. */
+/** `carry` forwards all bytes; `swallow` silently drops them in both directions; `refuse` resets connections. */
 export type RelayMode = 'carry' | 'swallow' | 'refuse';
 
 interface RelayedConnection {
   readonly inbound: Socket;
   readonly outbound: Socket;
-  /** A swallowed connection never carries a byte again, whatever the mode of the relay becomes. */
+  /** A swallowed connection never forwards a byte again, even if the mode of the relay changes. */
   isSwallowed: boolean;
 }
 
-/** Listens on a loopback port and carries each connection to the target. */
+/** Listens on a loopback port and forwards each connection to the target. */
 export class SwallowingRelay {
   readonly #server: Server;
   readonly #target: { readonly host: string; readonly port: number };
@@ -27,7 +27,7 @@
     });
   }
 
-  /** Starts a relay to the address (`ip:port`), on the port given or on a free one. */
+  /** Starts a relay to the target address (`ip:port`), on the given port or on a free one. */
   static async open(targetAddress: string, port = 0): Promise<SwallowingRelay> {
     const separator = targetAddress.lastIndexOf(':');
     const relay = new SwallowingRelay({
@@ -39,7 +39,7 @@
     return relay;
   }
 
-  /** `ip:port` to give to whoever is to talk through the relay. */
+  /** `ip:port` at which clients connect to the relay. */
   get address(): string {
     const address = this.#server.address();
     if (typeof address !== 'object' || address === null) {
@@ -52,12 +52,12 @@
     return this.#connections.size;
   }
 
-  /** Bytes carried in both directions; what was swallowed is not counted. */
+  /** Number of bytes forwarded in both directions, without swallowed ones. */
   get carriedBytes(): number {
     return this.#carriedBytes;
   }
 
-  /** Makes every connection open now go silent for good; new ones are not touched. Returns how many. */
+  /** Permanently drops the traffic of all open connections without closing them; new ones are not affected. Returns their number. */
   swallowOpenConnections(): number {
     let count = 0;
     for (const connection of this.#connections) {
@@ -69,7 +69,7 @@
     return count;
   }
 
-  /** Sets what happens to new connections; `swallow` and `refuse` silence or reset the open ones too: a partition. */
+  /** Sets the mode of new connections. `swallow` and `refuse` also silence or reset the open ones, which simulates a partition. */
   setMode(mode: RelayMode): void {
     this.#mode = mode;
     switch (mode) {
@@ -109,7 +109,7 @@
         return;
       }
       this.#carriedBytes += bytes.length;
-      // Without this a slow reader would make the relay hold the whole answer in memory.
+      // Backpressure: otherwise the relay would buffer a whole response in memory for a slow reader.
       if (!to.write(bytes)) {
         from.pause();
         to.once('drain', () => from.resume());
@@ -126,7 +126,7 @@
     });
   }
 
-  /** The end of a swallowed connection that stays must not learn that the other one closed it. */
+  /** If one peer closes a swallowed connection, the other peer must not notice. */
   #release(connection: RelayedConnection): void {
     const { inbound, outbound, isSwallowed } = connection;
     if (isSwallowed && !(inbound.destroyed && outbound.destroyed)) {
--- a/__tests__/support/wait.ts
+++ b/__tests__/support/wait.ts
@@ -1,19 +1,19 @@
-/** Waiting for conditions; tests never wait for a fixed time. */
+/** Polls for conditions; tests never wait for a fixed time. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
 const pollInterval = 25;
-const defaultPatience = 60_000;
+const defaultTimeout = 60_000;
 
 /**
- * Polls until the condition gives a value other than undefined, false or a rejection.
- * The patience in milliseconds only ends a hung test; no verdict depends on how long the wait took.
+ * Polls until the condition returns a value other than undefined or false without throwing.
+ * The timeout in milliseconds only ends a hung test; no test result depends on how long the wait took.
  */
 export async function waitFor<Value>(
   description: string,
   condition: () => Value | undefined | false | Promise<Value | undefined | false>,
-  patience = defaultPatience,
+  timeout = defaultTimeout,
 ): Promise<Value> {
-  const end = performance.now() + patience;
+  const end = performance.now() + timeout;
   let lastError: unknown;
   while (performance.now() < end) {
     try {
@@ -27,5 +27,5 @@
     await sleep(pollInterval);
   }
   const reason = lastError instanceof Error ? `; last error: ${lastError.message}` : '';
-  throw new Error(`gave up waiting for ${description}${reason}`);
+  throw new Error(`timed out waiting for ${description}${reason}`);
 }
--- a/src/stand-in/announcer.ts
+++ b/src/stand-in/announcer.ts
@@ -2,14 +2,17 @@
 
 import type { Announcement } from '../sidecar/upstream/index.js';
 
-/** Announces a stand-in to the sidecar beside it. */
+/** Announces a stand-in upstream to its sidecar. */
 
 const announceInterval = 400;
 
-/** Repeats the announcement until the answer is called. */
-export function startAnnouncing(sidecar: string, describe: () => Announcement): () => void {
+/** Repeats the announcement until the returned function is called. */
+export function startAnnouncing(
+  sidecar: string,
+  createAnnouncement: () => Announcement,
+): () => void {
   const send = (): void => {
-    void announce(sidecar, describe());
+    void announce(sidecar, createAnnouncement());
   };
   send();
   const timer = setInterval(send, announceInterval);
@@ -18,7 +21,7 @@
   };
 }
 
-/** The sidecar may not be there yet; the next announcement reaches it. */
+/** Failures are ignored: the sidecar may not be running yet, and the next announcement reaches it. */
 async function announce(sidecar: string, announcement: Announcement): Promise<void> {
   try {
     const response = await request(`http://${sidecar}/announce`, {
--- a/src/stand-in/chat.ts
+++ b/src/stand-in/chat.ts
@@ -1,11 +1,11 @@
-/** The parts of an OpenAI-style chat completion that the stand-in engine writes. */
+/** The parts of OpenAI-style chat completions that the stand-in engine supports. */
 
 import { z } from 'zod';
 
 const defaultTokens = 16;
 const maximumTokens = 100_000;
 
-/** What the stand-in reads of a request. */
+/** Fields of a request that the stand-in reads. */
 export const chatRequestSchema = z.object({
   model: z.string(),
   messages: z.array(z.object({ role: z.string(), content: z.string() })).min(1),
@@ -15,13 +15,13 @@
 
 export type ChatRequest = z.infer<typeof chatRequestSchema>;
 
-/** The stand-in's answer repeats the caller's words, so that a test can tell whose answer it got. */
+/** Tokens repeat the words of the caller's last message, so that a test can tell which request a response belongs to. */
 export function createToken(chat: ChatRequest, index: number): string {
   const words = (chat.messages.at(-1)?.content ?? '').split(' ');
   return `${words[index % words.length] ?? ''}#${index} `;
 }
 
-/** The text of one server-sent event with one token. */
+/** Formats a server-sent event with one token. */
 export function formatChunk(chat: ChatRequest, id: string, token: string): string {
   const chunk = {
     id,
@@ -32,10 +32,10 @@
   return `data: ${JSON.stringify(chunk)}\n\n`;
 }
 
-/** The last server-sent event of a whole answer. */
+/** The last server-sent event of a complete response. */
 export const doneEvent = 'data: [DONE]\n\n';
 
-/** The body of an answer that is not streamed. */
+/** Formats the body of a response that is not streamed. */
 export function formatCompletion(chat: ChatRequest, id: string, text: string): string {
   return JSON.stringify({
     id,
--- a/src/stand-in/engine.ts
+++ b/src/stand-in/engine.ts
@@ -13,9 +13,9 @@
   formatCompletion,
   type ChatRequest,
 } from './chat.js';
-import { answerJson, readJson } from './http.js';
+import { sendJson, readJson } from './http.js';
 
-/** A stand-in for a model engine: loads by order, streams tokens at a set pace, stops when its caller goes away. */
+/** A fake model engine for tests: loads models on command, streams tokens at a configured rate, and stops when the caller disconnects. */
 
 const artifactSchema = z.object({
   model: z.string(),
@@ -25,18 +25,17 @@
 
 const roleSchema = z.strictObject({ group: z.string(), rank: z.int(), size: z.int() });
 
-const orderNumbers = { fencingNumber: z.int(), sequence: z.int() };
+const orderNumberFields = { fencingNumber: z.int(), sequence: z.int() };
 
 const orderSchema = z.discriminatedUnion('type', [
   z.strictObject({
     type: z.enum(['loadModel', 'loadAdapters', 'changeVersion', 'unload']),
     artifact: artifactSchema,
-    ...orderNumbers,
+    ...orderNumberFields,
   }),
-  z.strictObject({ type: z.literal('changeRole'), role: roleSchema, ...orderNumbers }),
+  z.strictObject({ type: z.literal('changeRole'), role: roleSchema, ...orderNumberFields }),
 ]);
 
-/** Options of a stand-in engine. */
 export interface StandInEngineOptions {
   readonly listen: string;
   readonly sidecar: string;
@@ -46,14 +45,14 @@
   readonly loadMilliseconds: number;
 }
 
-/** One host's part of a model engine. */
+/** The part of a model engine that runs on one host. */
 export class StandInEngine implements ManagedPart {
   readonly name = 'stand-in engine';
   readonly #options: StandInEngineOptions;
   readonly #server = createServer((request, response) => {
     void this.#handle(request, response);
   });
-  #loaded: readonly Artifact[] = [];
+  #loadedArtifacts: readonly Artifact[] = [];
   #fencingNumber = 0;
   #running = 0;
   #stopAnnouncing: (() => void) | undefined;
@@ -69,7 +68,7 @@
       address: this.#options.listen,
       isHealthy: true,
       checksFencingNumber: this.#options.checksFencingNumber,
-      loaded: this.#loaded,
+      loaded: this.#loadedArtifacts,
       load: { running: this.#running, queued: 0, capacity: this.#options.capacity },
     }));
   }
@@ -82,52 +81,52 @@
   async #handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     try {
       if (request.url === '/orders') {
-        await this.#takeOrder(request, response);
+        await this.#handleOrder(request, response);
         return;
       }
       if (request.url === '/v1/chat/completions') {
-        await this.#complete(chatRequestSchema.parse(await readJson(request)), response);
+        await this.#handleCompletion(chatRequestSchema.parse(await readJson(request)), response);
         return;
       }
-      answerJson(response, 404, { message: 'unknown path' });
+      sendJson(response, 404, { message: 'unknown path' });
     } catch (error) {
-      answerJson(response, 400, { message: String(error) });
+      sendJson(response, 400, { message: String(error) });
     }
   }
 
-  async #takeOrder(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handleOrder(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = orderSchema.parse(await readJson(request));
     if (this.#options.checksFencingNumber && order.fencingNumber < this.#fencingNumber) {
-      answerJson(response, 409, { message: 'old fencing number' });
+      sendJson(response, 409, { message: 'old fencing number' });
       return;
     }
     this.#fencingNumber = Math.max(this.#fencingNumber, order.fencingNumber);
-    answerJson(response, 202, { message: 'order taken' });
+    sendJson(response, 202, { message: 'order taken' });
     if (order.type === 'changeRole') {
       return;
     }
     if (order.type === 'unload') {
-      this.#loaded = [];
+      this.#loadedArtifacts = [];
       return;
     }
-    if (isArtifactCovered(order.artifact, this.#loaded)) {
+    if (isArtifactCovered(order.artifact, this.#loadedArtifacts)) {
       return;
     }
-    this.#loaded = [];
+    this.#loadedArtifacts = [];
     await delay(this.#options.loadMilliseconds);
-    this.#loaded = [order.artifact];
+    this.#loadedArtifacts = [order.artifact];
   }
 
-  async #complete(chat: ChatRequest, response: ServerResponse): Promise<void> {
+  async #handleCompletion(chat: ChatRequest, response: ServerResponse): Promise<void> {
     this.#running += 1;
     try {
-      await this.#writeAnswer(chat, response);
+      await this.#writeCompletion(chat, response);
     } finally {
       this.#running -= 1;
     }
   }
 
-  async #writeAnswer(chat: ChatRequest, response: ServerResponse): Promise<void> {
+  async #writeCompletion(chat: ChatRequest, response: ServerResponse): Promise<void> {
     const id = createIdentifier();
     if (chat.stream) {
       response.writeHead(200, { 'content-type': 'text/event-stream' });
--- a/src/stand-in/http.ts
+++ b/src/stand-in/http.ts
@@ -1,6 +1,5 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** Reads a JSON body. */
 export async function readJson(request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
   for await (const chunk of request as AsyncIterable<Buffer>) {
@@ -9,8 +8,8 @@
   return JSON.parse(Buffer.concat(chunks).toString('utf8'));
 }
 
-/** Writes a JSON answer, unless one was begun. */
-export function answerJson(response: ServerResponse, status: number, body: object): void {
+/** Sends a JSON response. If the response was already started, destroys the connection instead. */
+export function sendJson(response: ServerResponse, status: number, body: object): void {
   if (response.headersSent) {
     response.destroy();
     return;
--- a/src/stand-in/service.ts
+++ b/src/stand-in/service.ts
@@ -2,17 +2,16 @@
 
 import { closeServer, openServer, type ManagedPart } from '../common/index.js';
 import { startAnnouncing } from './announcer.js';
-import { answerJson } from './http.js';
+import { sendJson } from './http.js';
 
 /**
- * A stand-in for a plain service: counts and echoes each call, so that a test can see a repeated one.
- * A GET of {@link callsPath} lists how often each path was called.
+ * A fake plain service for tests: counts and echoes each call, so that a test can detect duplicate calls.
+ * A GET of {@link callsPath} returns the number of calls by path.
  */
 
-/** Where a test reads the calls; not counted itself. */
+/** Path at which tests read the call counts; calls to it are not counted. */
 export const callsPath = '/stand-in/calls';
 
-/** Options of a stand-in service. */
 export interface StandInServiceOptions {
   readonly listen: string;
   readonly sidecar: string;
@@ -21,15 +20,15 @@
   readonly answerMilliseconds: number;
 }
 
-/** One upstream of a plain service. */
+/** An upstream of a plain service. */
 export class StandInService implements ManagedPart {
   readonly name = 'stand-in service';
   readonly #options: StandInServiceOptions;
   readonly #server = createServer((request, response) => {
     void this.#handle(request, response);
   });
-  readonly #callsByPath = new Map<string, number>();
-  #calls = 0;
+  readonly #callCountByPath = new Map<string, number>();
+  #callCount = 0;
   #stopAnnouncing: (() => void) | undefined;
 
   constructor(options: StandInServiceOptions) {
@@ -59,14 +58,14 @@
     }
     const path = request.url ?? '';
     if (path === callsPath) {
-      answerJson(response, 200, Object.fromEntries(this.#callsByPath));
+      sendJson(response, 200, Object.fromEntries(this.#callCountByPath));
       return;
     }
-    this.#calls += 1;
-    const call = this.#calls;
-    this.#callsByPath.set(path, (this.#callsByPath.get(path) ?? 0) + 1);
+    this.#callCount += 1;
+    const call = this.#callCount;
+    this.#callCountByPath.set(path, (this.#callCountByPath.get(path) ?? 0) + 1);
     await new Promise((resolve) => setTimeout(resolve, this.#options.answerMilliseconds));
-    answerJson(response, 200, {
+    sendJson(response, 200, {
       service: this.#options.service,
       upstream: this.#options.listen,
       method: request.method,
