--- a/__tests__/cli/command-line.test.ts
+++ b/__tests__/cli/command-line.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 
 import { exitCodes } from '../../src/cli/index.js';
-import { FakeControl, FakeLog, say } from './fake-control.js';
+import { FakeControl, FakeReplicatedLog, runCommand } from './fake-control.js';
 
 const files = {
   'one.jsonc': '{ "policy": { "concurrentLoads": 2 } } // quieter weight store',
@@ -9,11 +9,11 @@
   'wrong.jsonc': '{\n  "policy": { "concurrentLoads": 0 }\n}',
 };
 
-let log: FakeLog;
+let log: FakeReplicatedLog;
 let controls: readonly FakeControl[];
 
 beforeEach(async () => {
-  log = new FakeLog();
+  log = new FakeReplicatedLog();
   controls = [new FakeControl('control-1', log), new FakeControl('control-2', log)];
   await Promise.all(controls.map((control) => control.open()));
 });
@@ -25,81 +25,81 @@
 describe('changes by the command line', () => {
   // Symptom: a change is accepted twice, or reported as a conflict with itself.
   // Sequence: control-1 commits the change and dies before its answer arrives; control-2 is asked next.
-  // Cause: the second submission carried another change id, or was read anew from another base.
+  // Cause: the second submission carried another change id, or was made from a newly read base.
   it('sends the same change to the next control host after a lost answer', async () => {
     controls[0]?.faults.push('loseAnswer');
-    const said = await say(controls, ['apply', 'one.jsonc'], files);
-    expect(said.exitCode).toBe(exitCodes.ok);
-    expect(said.output).toContain('revision 1 accepted (change id made-1, base 0)');
+    const result = await runCommand(controls, ['apply', 'one.jsonc'], files);
+    expect(result.exitCode).toBe(exitCodes.ok);
+    expect(result.output).toContain('revision 1 accepted (change id made-1, base 0)');
     expect(log.submissions).toHaveLength(2);
     expect(log.submissions[1]).toBe(log.submissions[0]);
     expect(log.machine.read().history).toHaveLength(1);
   });
 
-  // Symptom: an operator is told "not accepted", makes the change anew, and it is in force twice over.
+  // Symptom: an operator is told "not accepted", makes the change again, and it is applied twice.
   // Sequence: every control host loses the answer; the change may or may not be committed.
-  // Cause: a lost answer was reported like a refusal.
+  // Cause: a lost answer was reported as a refusal.
   it('says that a change is uncertain, and how to resend it, when every answer is lost', async () => {
     controls[0]?.faults.push(...Array<'loseAnswer'>(6).fill('loseAnswer'));
-    const said = await say(controls.slice(0, 1), ['apply', 'one.jsonc'], files);
-    expect(said.exitCode).toBe(exitCodes.unavailable);
-    expect(said.errors).toContain('changeUncertain (4004)');
-    expect(said.errors).toContain('apply one.jsonc --change-id made-1 --base 0');
+    const result = await runCommand(controls.slice(0, 1), ['apply', 'one.jsonc'], files);
+    expect(result.exitCode).toBe(exitCodes.unavailable);
+    expect(result.errors).toContain('changeUncertain (4004)');
+    expect(result.errors).toContain('apply one.jsonc --change-id made-1 --base 0');
     const resent = ['apply', 'one.jsonc', '--change-id', 'made-1', '--base', '0'];
-    const again = await say(controls, resent, files);
+    const again = await runCommand(controls, resent, files);
     expect(again.output).toContain('revision 1 accepted');
   });
 
   it('says that a change was not accepted when no control host took it', async () => {
     controls.forEach((control) => control.faults.push(...Array<'noQuorum'>(6).fill('noQuorum')));
-    const said = await say(controls, ['apply', 'one.jsonc'], files);
-    expect(said.exitCode).toBe(exitCodes.unavailable);
-    expect(said.errors).toContain('noQuorum (4003)');
+    const result = await runCommand(controls, ['apply', 'one.jsonc'], files);
+    expect(result.exitCode).toBe(exitCodes.unavailable);
+    expect(result.errors).toContain('noQuorum (4003)');
     expect(log.submissions).toHaveLength(0);
   });
 
-  // Symptom: a resend hours later silently takes back what others changed meanwhile.
-  // Sequence: the first submission never arrived; others change; the operator resends by id alone.
-  // Cause: the resend was made from a newly read base, so nothing looked like a conflict.
-  it('wants the base with a change id', async () => {
-    const said = await say(controls, ['apply', 'one.jsonc', '--change-id', 'x'], files);
-    expect(said.exitCode).toBe(exitCodes.usage);
+  // Symptom: a resend hours later silently reverts what others changed in the meantime.
+  // Sequence: the first submission never arrived; others change; the operator resends with the change id only.
+  // Cause: the resend was made from a newly read base, so no conflict was detected.
+  it('requires the base with a change id', async () => {
+    const result = await runCommand(controls, ['apply', 'one.jsonc', '--change-id', 'x'], files);
+    expect(result.exitCode).toBe(exitCodes.usage);
     expect(log.submissions).toHaveLength(0);
   });
 
-  // Symptom: a change that was accepted is gone, and nobody was told of a conflict.
+  // Symptom: a change that was accepted is gone, and no conflict was reported.
   // Sequence: amina and yonas both get revision 1 and edit; amina applies, then yonas applies.
-  // Cause: the base was read when the file was applied, not when it was written.
+  // Cause: the base was read when the file was applied, not when `get` wrote it.
   it('takes the revision that the file was got from as the base', async () => {
-    await say(controls, ['apply', 'one.jsonc'], files);
-    const { output } = await say(controls, ['get']);
+    await runCommand(controls, ['apply', 'one.jsonc'], files);
+    const { output } = await runCommand(controls, ['get']);
     const hers = { 'edit.jsonc': output.replace('"concurrentLoads": 2', '"concurrentLoads": 3') };
     const his = { 'edit.jsonc': output.replace('2000', '3000') };
     const amina = ['apply', 'edit.jsonc', '--change-id', 'hers', '--base', '1'];
-    expect((await say(controls, amina, hers)).exitCode).toBe(exitCodes.ok);
-    const said = await say(controls, ['--operator', 'yonas', 'apply', 'edit.jsonc'], his);
-    expect(said.exitCode).toBe(exitCodes.conflict);
-    expect(said.errors).toContain('winner: revision 2 by amina');
+    expect((await runCommand(controls, amina, hers)).exitCode).toBe(exitCodes.ok);
+    const result = await runCommand(controls, ['--operator', 'yonas', 'apply', 'edit.jsonc'], his);
+    expect(result.exitCode).toBe(exitCodes.conflict);
+    expect(result.errors).toContain('winner: revision 2 by amina');
   });
 
   it('changes nothing when nothing differs', async () => {
-    await say(controls, ['apply', 'one.jsonc'], files);
-    const said = await say(controls, ['apply', 'one.jsonc'], files);
-    expect(said.output).toBe('nothing differs from revision 1; nothing was changed\n');
+    await runCommand(controls, ['apply', 'one.jsonc'], files);
+    const result = await runCommand(controls, ['apply', 'one.jsonc'], files);
+    expect(result.output).toBe('nothing differs from revision 1; nothing was changed\n');
     expect(log.submissions).toHaveLength(1);
   });
 });
 
 describe('a read without a quorum', () => {
   // Symptom: control has lost its quorum, and the command that shows control hosts shows nothing.
-  // Sequence: two of three control hosts die; the operator asks where each of them stands.
-  // Cause: the table of control hosts waited for an answer that only a leader gives.
+  // Sequence: two of three control hosts die; the operator asks for the state of each.
+  // Cause: the table of control hosts depended on an answer that only a leader gives.
   it('still shows where each control host stands', async () => {
     controls.forEach((control) => (control.isLeaderless = true));
-    const said = await say(controls, ['get', '--in-force']);
-    expect(said.exitCode).toBe(exitCodes.unavailable);
-    expect(said.errors).toContain('notFresh (4007)');
-    expect(said.errors).toMatch(/control-2 +127\.0\.0\.1:\d+ +follower +yes/);
+    const result = await runCommand(controls, ['get', '--in-force']);
+    expect(result.exitCode).toBe(exitCodes.unavailable);
+    expect(result.errors).toContain('notFresh (4007)');
+    expect(result.errors).toMatch(/control-2 +127\.0\.0\.1:\d+ +follower +yes/);
   });
 });
 
@@ -119,7 +119,7 @@
     [exitCodes.conflict, ['apply', 'one.jsonc', '--base', '7']],
     [exitCodes.notFound, ['drain', 'host-9']],
   ])('%i for %j', async (exitCode, argv) => {
-    expect((await say(controls, argv, files)).exitCode).toBe(exitCode);
+    expect((await runCommand(controls, argv, files)).exitCode).toBe(exitCode);
   });
 
   it('5 when no control host is there', async () => {
@@ -127,14 +127,14 @@
     await gone.open();
     const { address } = gone;
     await gone.close();
-    const said = await say([], ['--control', address, 'hosts']);
-    expect(said.exitCode).toBe(exitCodes.unavailable);
+    const result = await runCommand([], ['--control', address, 'hosts']);
+    expect(result.exitCode).toBe(exitCodes.unavailable);
   });
 });
 
 describe('results for programs', () => {
   it('gives one JSON value for a change, a conflict and a read', async () => {
-    const accepted = await say(controls, ['--json', 'apply', 'one.jsonc'], files);
+    const accepted = await runCommand(controls, ['--json', 'apply', 'one.jsonc'], files);
     expect(JSON.parse(accepted.output)).toEqual({
       revision: 1,
       changeId: 'made-1',
@@ -151,14 +151,14 @@
       '--base',
       '0',
     ];
-    const refused = await say(controls, rival, files);
+    const refused = await runCommand(controls, rival, files);
     expect(JSON.parse(refused.output)).toMatchObject({
       error: { code: 'revisionConflict', number: 4001 },
       winner: { revision: 1, changeId: 'made-1', operator: 'amina' },
       differences: ['policy: concurrentLoads 2 -> 4'],
       changeId: 'rival',
     });
-    const read = await say(controls, ['--json', 'hosts']);
+    const read = await runCommand(controls, ['--json', 'hosts']);
     expect(JSON.parse(read.output)).toMatchObject({
       revision: 1,
       hosts: [{ host: 'host-1' }, {}, {}],
@@ -189,7 +189,7 @@
     ];
     let text = '';
     for (const argv of session) {
-      const { exitCode, output, errors } = await say(controls, argv, files);
+      const { exitCode, output, errors } = await runCommand(controls, argv, files);
       text += `$ pistachiospoke ${argv.join(' ')}\n${output}${errors}(exit code ${exitCode})\n\n`;
     }
     controls.forEach((control, index) => {
--- a/__tests__/cli/fake-control.ts
+++ b/__tests__/cli/fake-control.ts
@@ -16,11 +16,11 @@
 } from '../../src/control/state/index.js';
 import { ControlService } from '../../src/generated/pistachiospoke/v1/control_pb.js';
 
-/** What a fake control host does with its next submission, instead of answering it. */
+/** How a fake control host fails its next submission. */
 export type Fault = 'loseAnswer' | 'loseRequest' | 'noQuorum';
 
-/** One replicated state behind any number of fake control hosts. */
-export class FakeLog {
+/** The replicated state shared by any number of fake control hosts. */
+export class FakeReplicatedLog {
   readonly machine = new ControlStateMachine();
   /** Texts of all submissions that arrived, in order. */
   readonly submissions: string[] = [];
@@ -35,17 +35,17 @@
   }
 }
 
-/** A control host that keeps its promises, but for the faults it was told to show. */
+/** A control host that behaves correctly except for the injected faults. */
 export class FakeControl {
   readonly faults: Fault[] = [];
-  /** Refuses every read but that of itself. */
+  /** Refuses every read except the view of the host itself. */
   isLeaderless = false;
   readonly #name: string;
-  readonly log: FakeLog;
+  readonly log: FakeReplicatedLog;
   readonly #server: Http2Server;
   readonly #sessions = new Set<ServerHttp2Session>();
 
-  constructor(name: string, log: FakeLog) {
+  constructor(name: string, log: FakeReplicatedLog) {
     this.#name = name;
     this.log = log;
     this.#server = createServer(
@@ -177,19 +177,19 @@
   },
 ];
 
-/** What one run of the command line said. */
-export interface Said {
+/** Exit code and output of one run of the command line. */
+export interface CommandResult {
   readonly exitCode: ExitCode;
   readonly output: string;
   readonly errors: string;
 }
 
-/** Runs the command line against fake control hosts, with the files given and without waiting. */
-export async function say(
+/** Runs the command line against fake control hosts, with the given files and without real delays. */
+export async function runCommand(
   controls: readonly FakeControl[],
   argv: readonly string[],
   files: Readonly<Record<string, string>> = {},
-): Promise<Said> {
+): Promise<CommandResult> {
   let output = '';
   let errors = '';
   const flags = controls.flatMap((control) => ['--control', control.address]);
--- a/__tests__/cli/trace.test.ts
+++ b/__tests__/cli/trace.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { exitCodes } from '../../src/cli/index.js';
-import { say } from './fake-control.js';
+import { runCommand } from './fake-control.js';
 
 function createLine(name: string, time: string, msg: string, details: object): string {
   return JSON.stringify({ level: 30, time: `2026-12-01T10:00:${time}Z`, name, msg, ...details });
@@ -25,20 +25,20 @@
 
 describe('the trace of a request', () => {
   it('has its lines and those of its targets, in the order of time', async () => {
-    const said = await say([], ['trace', 'r-1', 'gateway.log', 'control.log'], files);
-    expect(said.exitCode).toBe(exitCodes.ok);
-    expect(said.output.trim().split('\n')).toEqual([
+    const result = await runCommand([], ['trace', 'r-1', 'gateway.log', 'control.log'], files);
+    expect(result.exitCode).toBe(exitCodes.ok);
+    expect(result.output.trim().split('\n')).toEqual([
       expect.stringContaining('control-1: engine groups planned'),
       expect.stringContaining('gateway-1: attempt failed'),
       expect.stringContaining('gateway-1: request ended {"result":"groupBroken"}'),
     ]);
-    expect(said.errors).toContain('control.log: 1 lines are none that a process of ours wrote');
+    expect(result.errors).toContain('control.log: 1 lines are none that a process of ours wrote');
   });
 
   it('says so where no line names the request, or a file cannot be read', async () => {
-    const unknown = await say([], ['trace', 'r-9', 'gateway.log'], files);
+    const unknown = await runCommand([], ['trace', 'r-9', 'gateway.log'], files);
     expect(unknown.exitCode).toBe(exitCodes.notFound);
-    const missing = await say([], ['trace', 'r-1', 'nowhere.log'], files);
+    const missing = await runCommand([], ['trace', 'r-1', 'nowhere.log'], files);
     expect(missing.exitCode).toBe(exitCodes.invalidFile);
   });
 });
--- a/__tests__/report/burn-report.test.ts
+++ b/__tests__/report/burn-report.test.ts
@@ -39,7 +39,7 @@
 }
 
 describe('burn report', () => {
-  it('counts in each window what a naive recount of all requests counts', () => {
+  it('counts the same in each window as a direct count of all requests', () => {
     fc.assert(
       fc.property(fc.array(createArbitraryRequest(), { maxLength: 200 }), (requests) => {
         const ordered = [...requests].sort((left, right) => left.at - right.at);
@@ -56,7 +56,7 @@
             (request) =>
               Math.floor(request.at / bucketLength) * bucketLength > newest - window.length,
           );
-          const expected = recountNaively(inside);
+          const expected = countDirectly(inside);
           const found = report.targets[0]?.indicators.map(({ windows }) => windows[position]);
           expect(found?.map((burn) => [burn?.good, burn?.bad])).toEqual(expected);
         }
@@ -81,7 +81,7 @@
     expect(report.targets[0]?.outcomes).toEqual({ whole: 0, failed: 1, notRun: 0 });
   });
 
-  it('takes counters it cannot read for no answer', () => {
+  it('treats counters it cannot read as no answer', () => {
     expect(parseGatewayAnswer('a', '{"since":1}').type).toBe('noAnswer');
     expect(parseGatewayAnswer('a', 'not JSON').type).toBe('noAnswer');
   });
@@ -90,8 +90,8 @@
 describe('service-level recorder', () => {
   /*
    * Symptom: after the wall clock of a gateway was set back, the report showed a quiet hour as burning.
-   * Sequence: requests at 12:05, clock set back to 11:50, requests at 11:50; an older bucket after a newer one.
-   * Cause: buckets are ordered by the wall clock, which may go back.
+   * Sequence: requests at 12:05, clock set back to 11:50, requests at 11:50; an older bucket is opened after a newer one.
+   * Cause: buckets are ordered by the wall clock, which may be set back.
    */
   it('counts into the newest bucket while the wall clock is behind it', () => {
     const recorder = new ServiceLevelRecorder(start);
@@ -127,7 +127,7 @@
   return fc.record({
     gateway: fc.integer({ min: 0, max: 2 }),
     outcome: fc.constantFrom(...outcomes),
-    // The cell of the histogram that holds the threshold of 700 ms reaches to 703 ms.
+    // The histogram cell that contains the threshold of 700 ms extends to 703 ms.
     firstToken: fc.constantFrom(undefined, 0, 90.4, 650, 700, 720, 4000, 2_000_000),
     at: fc.oneof(
       fc.integer({ min: start, max: start + 5 * day }),
@@ -146,7 +146,7 @@
   );
 }
 
-function recountNaively(requests: readonly RecordedRequest[]): readonly (readonly number[])[] {
+function countDirectly(requests: readonly RecordedRequest[]): readonly (readonly number[])[] {
   const firstTokens = requests.flatMap(({ firstToken }) => firstToken ?? []);
   const fast = firstTokens.filter((milliseconds) => milliseconds <= 703).length;
   const whole = requests.filter(({ outcome }) => outcome === 'whole').length;
@@ -165,7 +165,7 @@
   return { gateway, outcome, firstToken, at };
 }
 
-/** Two days of a service that breaks for half an hour at the end; one gateway does not answer. */
+/** Two days of a service that fails during the last half hour; one gateway does not answer. */
 function createSession(): Parameters<typeof createBurnReport>[0] {
   const random = createRandomSource(11);
   const at = start + 2 * day;
@@ -183,7 +183,7 @@
   return { at, objectives: [assistant, registry], gateways };
 }
 
-/** Compares with the golden file; PISTACHIOSPOKE_UPDATE_GOLDEN=1 writes it anew, to be read in the change. */
+/** Compares with the golden file; PISTACHIOSPOKE_UPDATE_GOLDEN=1 rewrites it, for review with the change. */
 function expectGolden(name: string, text: string): void {
   const path = join(import.meta.dirname, '..', 'golden', 'report', name);
   if (process.env.PISTACHIOSPOKE_UPDATE_GOLDEN === '1') {
--- a/scripts/bench.mjs
+++ b/scripts/bench.mjs
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- NAME [options]`: bundles `bench/NAME.ts` and runs it; without a name lists what there is.
- * A bench writes Markdown tables to standard output and its progress to standard error.
+ * `npm run bench -- NAME [options]`: bundles `bench/NAME.ts` and runs it; without a name, lists the benches.
+ * A bench writes Markdown tables to standard output and progress messages to standard error.
  */
 import { spawn, spawnSync } from 'node:child_process';
 import { existsSync } from 'node:fs';
@@ -32,7 +32,7 @@
 
 async function runBench(benchName, options) {
   const outfile = `dist/bench/${benchName}.js`;
-  // Benches may start the built programs; a stale build would measure yesterday's code.
+  // Benches may start the built programs; a stale build would measure outdated code.
   const built = spawnSync(process.execPath, ['scripts/build.mjs'], {
     stdio: ['ignore', process.stderr.fd, 'inherit'],
   });
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,4 +1,4 @@
-/** Bundles each binary into `dist/`; one file a binary, so that a host needs no node_modules. */
+/** Bundles each binary into `dist/`, one file per binary, so that a host needs no node_modules. */
 import { chmod } from 'node:fs/promises';
 
 import { bundlePrograms } from './bundle-programs.mjs';
--- a/scripts/bundle-options.mjs
+++ b/scripts/bundle-options.mjs
@@ -1,4 +1,4 @@
-/** Options of esbuild that programs and benches share: one ES module each, run by Node without node_modules. */
+/** esbuild options shared by programs and benches: each bundle is one ES module that Node runs without node_modules. */
 const requireBanner =
   "import { createRequire as createRequireForBundle } from 'node:module';\n" +
   'const require = createRequireForBundle(import.meta.url);';
--- a/scripts/bundle-programs.mjs
+++ b/scripts/bundle-programs.mjs
@@ -1,10 +1,10 @@
-/** Bundles each entry file of a folder into a program of its own. */
+/** Bundles each entry file of a folder into a separate program. */
 import { readdir } from 'node:fs/promises';
 import { build } from 'esbuild';
 
 import { bundleOptions } from './bundle-options.mjs';
 
-/** Answers the names of the programs; `options` go to esbuild. */
+/** Returns the names of the programs; `options` are passed to esbuild. */
 export async function bundlePrograms(entryFolder, outdir, options = {}) {
   const entries = (await readdir(entryFolder)).filter((name) => name.endsWith('.ts'));
   const entryPoints = entries.map((name) => `${entryFolder}/${name}`);
--- a/scripts/ensure-installed.mjs
+++ b/scripts/ensure-installed.mjs
@@ -1,4 +1,4 @@
-/** Installs the declared packages when `node_modules` is missing, so that a fresh clone needs one command. */
+/** Installs the declared packages when `node_modules` is missing, so that a fresh clone starts with one command. */
 import { existsSync } from 'node:fs';
 import { spawnSync } from 'node:child_process';
 
--- a/scripts/pass-over-known-red.mjs
+++ b/scripts/pass-over-known-red.mjs
@@ -1,6 +1,6 @@
 /**
- * Decides whether a run of the tests that failed may pass: only where each failed test is listed in KNOWN-RED.txt, whose lines begin with
- * the full name of a test and go on after ` | ` with the cause. The tests run all the same; what else fails, fails the check.
+ * Decides whether a failed test run may pass: only if every failed test is listed in KNOWN-RED.txt. Each line of that file
+ * is the full name of a test, ` | ` and the cause. Listed tests still run; any other failure fails the check.
  */
 import { readFileSync } from 'node:fs';
 
@@ -15,7 +15,7 @@
 
 const { testResults } = JSON.parse(readFileSync(resultsFile, 'utf8'));
 
-/** Full names of failed tests; a file that failed as a whole is named by its path, which no line lists. */
+/** Full names of failed tests. A file that failed as a whole is represented by its path, which is never listed. */
 const failed = testResults
   .filter(({ status }) => status === 'failed')
   .flatMap(({ name, assertionResults }) => {
--- a/scripts/start.mjs
+++ b/scripts/start.mjs
@@ -1,6 +1,6 @@
 /**
- * Development launcher: installs, builds and runs every role as a process of its own on loopback,
- * with stand-in engines, and stops them all on SIGINT. Not part of the system: none of its processes starts another.
+ * Development launcher: installs packages, builds, and runs every role as a separate process on loopback with
+ * stand-in engines. Stops all processes on SIGINT. Not part of the system, whose processes never start one another.
  */
 import { spawn, spawnSync } from 'node:child_process';
 import { createWriteStream, mkdirSync, readdirSync, rmSync } from 'node:fs';
--- a/src/bin/pistachiospoke-control.ts
+++ b/src/bin/pistachiospoke-control.ts
@@ -2,7 +2,7 @@
 import { ControlProcess } from '../control/index.js';
 import { controlSettingsSchema, readProcessSettings } from '../settings/index.js';
 
-/** A control host: configuration, placement and claims, with durable state. */
+/** Runs a control host: configuration, placement and idempotency claims, with durable state. */
 
 const settings = readProcessSettings(
   'pistachiospoke-control',
--- a/src/bin/pistachiospoke-gateway.ts
+++ b/src/bin/pistachiospoke-gateway.ts
@@ -2,7 +2,7 @@
 import { createGatewayParts } from '../gateway/index.js';
 import { gatewaySettingsSchema, readProcessSettings } from '../settings/index.js';
 
-/** A gateway: owns each request of a caller until its one final answer. */
+/** Runs a gateway, which owns each caller's request until its single final answer. */
 
 const settings = readProcessSettings(
   'pistachiospoke-gateway',
--- a/src/bin/pistachiospoke-sidecar.ts
+++ b/src/bin/pistachiospoke-sidecar.ts
@@ -2,7 +2,7 @@
 import { readProcessSettings, sidecarSettingsSchema } from '../settings/index.js';
 import { SidecarProcess } from '../sidecar/index.js';
 
-/** A sidecar: speaks for the upstream on its host. */
+/** Runs a sidecar, which represents the upstream on its host. */
 
 const settings = readProcessSettings(
   'pistachiospoke-sidecar',
--- a/src/bin/pistachiospoke-stand-in.ts
+++ b/src/bin/pistachiospoke-stand-in.ts
@@ -2,7 +2,7 @@
 
 import { StandInEngine, StandInService } from '../stand-in/index.js';
 
-/** Stand-ins for upstreams, for `npm start`, tests and benches; not for production. */
+/** Simulated upstreams for `npm start`, tests and benches; not for production. */
 
 const program = new Command('pistachiospoke-stand-in').description(
   'Stand-in upstreams for trials on one machine',
--- a/src/cli/commands/apply.ts
+++ b/src/cli/commands/apply.ts
@@ -8,7 +8,7 @@
 import { submitChange, type ChangeFlags } from '../submit-change.js';
 import { formatProblems, readFile } from './files.js';
 
-/** `apply FILE`: makes a configuration document the one in force. */
+/** `apply FILE`: puts a configuration document in force. */
 export async function runApply(
   context: ControlContext,
   file: string,
@@ -27,18 +27,18 @@
     output.note(formatProblems([warning]));
   });
   return flags.base === undefined
-    ? applyAfterReading(context, file, text.val, checked.val, flags)
+    ? applyOntoCurrentRevision(context, file, text.val, checked.val, flags)
     : submitDocument(context, {
         file,
         checked: checked.val,
         flags,
         base: undefined,
-        done: `applied ${file}`,
+        successText: `applied ${file}`,
       });
 }
 
-/** Says what differs from the configuration in force, and takes its revision as the base unless the file names its own. */
-async function applyAfterReading(
+/** Reports the differences from the configuration in force. Its revision is the base unless the file names one. */
+async function applyOntoCurrentRevision(
   context: ControlContext,
   file: string,
   text: string,
@@ -51,22 +51,22 @@
     return output.refuse(view.val);
   }
   const { revision, configuration } = view.val;
-  const base = findWrittenRevision(text) ?? revision;
+  const base = parseRevisionComment(text) ?? revision;
   const differences = describeDifferences(configuration, checked.configuration);
   if (differences.length === 0) {
-    const said = `nothing differs from revision ${revision}; nothing was changed\n`;
-    return output.succeed({ revision, differences }, said);
+    const message = `nothing differs from revision ${revision}; nothing was changed\n`;
+    return output.succeed({ revision, differences }, message);
   }
-  const done = differences.join('\n');
-  return submitDocument(context, { file, checked, flags, base, done });
+  const successText = differences.join('\n');
+  return submitDocument(context, { file, checked, flags, base, successText });
 }
 
 /**
- * The revision in the first line that `get` writes.
- * Two operators get, edit and apply, one after the other: from a base read at the time of `apply` the second would
- * take back what the first did, and nobody would be told.
+ * Reads the revision from the first line that `get` writes.
+ * If two operators both get and edit, then apply one after the other, a base read at the time of `apply` would let the
+ * second silently revert the change of the first.
  */
-function findWrittenRevision(text: string): number | undefined {
+function parseRevisionComment(text: string): number | undefined {
   const digits = /^\/\/ revision (\d+)\s*\n/.exec(text)?.[1];
   return digits === undefined ? undefined : Number(digits);
 }
@@ -75,9 +75,9 @@
   readonly file: string;
   readonly checked: CheckedConfiguration;
   readonly flags: ChangeFlags;
-  /** Base where no flag names it. */
+  /** Base revision to use when no flag gives one. */
   readonly base: number | undefined;
-  readonly done: string;
+  readonly successText: string;
 }
 
 function submitDocument(context: ControlContext, change: DocumentChange): Promise<ExitCode> {
@@ -85,7 +85,7 @@
     content: { type: 'applyConfiguration', document: change.checked.configuration },
     flags: change.flags,
     readRevision: change.base,
-    typed: `pistachiospoke apply ${change.file}`,
-    done: change.done,
+    commandText: `pistachiospoke apply ${change.file}`,
+    successText: change.successText,
   });
 }
--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -12,11 +12,11 @@
 import { exitCodes, type ExitCode } from '../exit-codes.js';
 import { formatProblems, readFile } from './files.js';
 
-/** What a file can be checked as. */
+/** Kinds of file that `check` accepts. */
 export const checkKinds = ['configuration', 'gateway', 'sidecar', 'control'] as const;
 export type CheckKind = (typeof checkKinds)[number];
 
-/** `check FILE`: checks a file without talking to any host. */
+/** `check FILE`: validates a file without contacting any host. */
 export function runCheck(context: CommandContext, file: string, kind: CheckKind): ExitCode {
   const { output } = context;
   const text = readFile(context, file);
@@ -35,7 +35,7 @@
 
 type Checked = Result<readonly DocumentProblem[], readonly DocumentProblem[]>;
 
-/** Warnings for a file that passes, errors for one that does not. */
+/** Returns warnings for a valid file and errors for an invalid one. */
 function check(file: string, text: string, kind: CheckKind): Checked {
   switch (kind) {
     case 'configuration':
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -2,7 +2,7 @@
 import type { ExitCode } from '../exit-codes.js';
 import { submitHostChange, type HostChangeFlags } from '../submit-host-change.js';
 
-/** `drain HOST`: takes a host out of work after what is in flight there, or lets it back in. */
+/** `drain HOST`: takes a host out of service once its in-flight work ends, or puts it back. */
 export async function runDrain(
   context: ControlContext,
   host: string,
@@ -13,8 +13,8 @@
     host,
     content: { type: 'setHostDrain', host, isDraining },
     flags,
-    typed: `pistachiospoke drain ${host}${isDraining ? '' : ' --undo'}`,
-    done: isDraining
+    commandText: `pistachiospoke drain ${host}${isDraining ? '' : ' --undo'}`,
+    successText: isDraining
       ? `host ${host} drains; watch it with: pistachiospoke hosts`
       : `host ${host} may serve again`,
   });
--- a/src/cli/commands/files.ts
+++ b/src/cli/commands/files.ts
@@ -3,7 +3,7 @@
 import { formatProblem, type DocumentProblem } from '../../settings/index.js';
 import type { CommandContext } from '../context.js';
 
-/** Text of a file, or a line that says why it cannot be read. */
+/** Returns the text of a file, or one line saying why it cannot be read. */
 export function readFile(context: CommandContext, path: string): Result<string, string> {
   try {
     return new Ok(context.environment.readText(path));
@@ -14,7 +14,7 @@
   }
 }
 
-/** One line for each problem. */
+/** Formats one line per problem. */
 export function formatProblems(problems: readonly DocumentProblem[]): string {
   return problems.map(formatProblem).join('\n');
 }
--- a/src/cli/commands/get.ts
+++ b/src/cli/commands/get.ts
@@ -9,7 +9,7 @@
   readonly history: boolean;
 }
 
-/** `get`: the configuration in force, the accepted changes, or who has which revision. */
+/** `get`: shows the configuration in force, the accepted changes, or the revision each watcher has. */
 export async function runGet(context: ControlContext, flags: GetFlags): Promise<ExitCode> {
   if (flags.inForce) {
     return showInForce(context);
@@ -23,7 +23,7 @@
   return output.succeed(view.val, text);
 }
 
-/** A document that `apply` takes again; its first line names the revision that the edit is made from. */
+/** A document that `apply` accepts. Its first line names the revision it was read at, which `apply` uses as the base. */
 function formatConfiguration(view: View<'configuration'>): string {
   const document = JSON.stringify(view.configuration, undefined, 2);
   return `// revision ${view.revision}\n${document}\n`;
@@ -40,7 +40,7 @@
   return formatTable(['revision', 'at', 'operator', 'change id', 'summary'], rows);
 }
 
-/** Control hosts are shown also when none of them can answer for all: that is when operators need to see them. */
+/** Shows the control hosts even without a quorum, because that is when operators need to see them. */
 async function showInForce(context: ControlContext): Promise<ExitCode> {
   const { output, client } = context;
   const [watchers, hosts] = await Promise.all([
@@ -105,7 +105,7 @@
   return formatTable(titles, rows);
 }
 
-/** The voters as the leader of the newest term has them. */
+/** The voters according to the leader of the newest term, or the host with the newest term if no leader answers. */
 function findVoters(hosts: ControlHosts): readonly string[] {
   const views = hosts.flatMap(({ view }) => view ?? []);
   const newest = [...views].sort((left, right) => right.term - left.term);
--- a/src/cli/commands/groups.ts
+++ b/src/cli/commands/groups.ts
@@ -4,7 +4,7 @@
 import type { ExitCode } from '../exit-codes.js';
 import { formatTable, sortByName } from '../table.js';
 
-/** `groups`: every placed group, and the healthy hosts that are in none. */
+/** `groups`: lists every placed group, and the healthy hosts in no group. */
 export async function runGroups(context: ControlContext): Promise<ExitCode> {
   const view = await context.client.get('groups');
   if (view.err) {
--- a/src/cli/commands/hosts.ts
+++ b/src/cli/commands/hosts.ts
@@ -4,7 +4,7 @@
 import type { ExitCode } from '../exit-codes.js';
 import { formatDuration, formatTable, sortByName } from '../table.js';
 
-/** `hosts`: every host that has announced itself. */
+/** `hosts`: lists every host that has announced itself. */
 export async function runHosts(context: ControlContext): Promise<ExitCode> {
   const view = await context.client.get('hosts');
   if (view.err) {
--- a/src/cli/commands/label.ts
+++ b/src/cli/commands/label.ts
@@ -4,14 +4,14 @@
 import { exitCodes, type ExitCode } from '../exit-codes.js';
 import { submitHostChange, type HostChangeFlags } from '../submit-host-change.js';
 
-/** `label HOST key=value key-`: sets and takes away labels of one host. */
+/** `label HOST key=value key-`: sets and removes labels of one host. */
 export async function runLabel(
   context: ControlContext,
   host: string,
-  words: readonly string[],
+  labelArguments: readonly string[],
   flags: HostChangeFlags,
 ): Promise<ExitCode> {
-  const labels = parseLabels(words);
+  const labels = parseLabels(labelArguments);
   if (labels.err) {
     return context.output.fail(exitCodes.usage, labels.val);
   }
@@ -19,8 +19,8 @@
     host,
     content: { type: 'setHostLabels', host, labels: labels.val },
     flags,
-    typed: `pistachiospoke label ${host} ${words.join(' ')}`,
-    done: `host ${host}: ${words.join(' ')}`,
+    commandText: `pistachiospoke label ${host} ${labelArguments.join(' ')}`,
+    successText: `host ${host}: ${labelArguments.join(' ')}`,
   });
 }
 
--- a/src/cli/commands/report-burn.ts
+++ b/src/cli/commands/report-burn.ts
@@ -16,15 +16,15 @@
 import type { ExitCode } from '../exit-codes.js';
 
 export interface BurnFlags {
-  /** Internal addresses; where left out, those of the gateways that control knows. */
+  /** Internal addresses of gateways. Defaults to the gateways that control knows. */
   readonly gateway: readonly string[] | undefined;
-  /** File to write the page to. */
+  /** File to write the HTML page to. */
   readonly html: string | undefined;
 }
 
 const countersTimeout = 5000;
 
-/** `report burn`: asks every gateway for its counters and shows how fast the objectives are being spent. */
+/** `report burn`: collects the counters of every gateway and shows the burn rates of the objectives. */
 export async function runReportBurn(context: ControlContext, flags: BurnFlags): Promise<ExitCode> {
   const { output, client, environment } = context;
   const watchers = await client.get('watchers');
--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -4,14 +4,14 @@
 import { readFile } from './files.js';
 
 /**
- * Lines about a target are shown from this long before the request's first line, in milliseconds: what became of a group some
- * seconds earlier decides where a request could go.
+ * How long before the request's first line to include lines about its targets, in milliseconds. What happened to a group
+ * some seconds earlier decides where a request could be routed.
  */
-const before = 5000;
-/** Clocks of hosts differ by some hundred milliseconds. */
-const after = 1000;
+const lookback = 5000;
+/** Extra time after the request's last line, in milliseconds: clocks of hosts differ by some hundred milliseconds. */
+const clockSkewAllowance = 1000;
 
-/** `trace`: what all processes wrote about one request, and about the targets that it was sent to. */
+/** `trace`: shows what all processes logged about one request and about its targets. */
 export function runTrace(
   context: CommandContext,
   requestId: string,
@@ -37,12 +37,12 @@
   return output.succeed(found, formatLines(found));
 }
 
-/** Lines of the request, and those about its targets around that time, the oldest first. */
+/** Selects the lines of the request and those about its targets around that time, oldest first. */
 function selectLines(lines: readonly LogLine[], requestId: string): readonly LogLine[] {
   const own = lines.filter((line) => line.requestId === requestId);
   const times = own.map(({ at }) => at);
-  const from = Math.min(...times) - before;
-  const to = Math.max(...times) + after;
+  const from = Math.min(...times) - lookback;
+  const to = Math.max(...times) + clockSkewAllowance;
   const targets = new Set(
     own.flatMap(({ details: { target } }) =>
       typeof target === 'string' ? JSON.stringify(target) : [],
@@ -50,13 +50,13 @@
   );
   const related = lines.filter((line) => {
     const isNear = line.requestId === undefined && line.at >= from && line.at <= to;
-    return isNear && namesOneOf(line, targets);
+    return isNear && mentionsAnyTarget(line, targets);
   });
   return [...own, ...related].sort((one, other) => one.at - other.at);
 }
 
-/** `targets` are names as they stand in JSON text, quotes included. */
-function namesOneOf({ details }: LogLine, targets: ReadonlySet<string>): boolean {
+/** `targets` are JSON-encoded names, quotes included, so that one name does not match the prefix of another. */
+function mentionsAnyTarget({ details }: LogLine, targets: ReadonlySet<string>): boolean {
   const text = JSON.stringify(details);
   return [...targets].some((target) => text.includes(target));
 }
--- a/src/cli/context.ts
+++ b/src/cli/context.ts
@@ -4,13 +4,13 @@
 import type { OperatorConnection } from './operator-settings.js';
 import type { Output } from './output.js';
 
-/** What a command of the command line works with. */
+/** What every command receives. */
 export interface CommandContext {
   readonly environment: CommandLineEnvironment;
   readonly output: Output;
 }
 
-/** What a command that talks to control works with. */
+/** What a command that calls control receives. */
 export interface ControlContext extends CommandContext {
   readonly client: ControlClient;
   readonly clients: RpcClientPool;
--- a/src/cli/control-client.ts
+++ b/src/cli/control-client.ts
@@ -17,32 +17,32 @@
 import type { RpcClientPool } from '../wire/index.js';
 import { ControlConnection, type CallOutcome, type RawAnswer } from './control-connection.js';
 
-/** Control as operators see it: any of its hosts, asked in turn until one gives a final answer. */
+/** Client of control as a whole: calls its hosts in turn until one gives a final answer. */
 
-/** A refusal, with what to show to an operator who lost a race. */
+/** A refused command. On a conflict it holds the change that was accepted first and the remaining differences. */
 export interface ControlRefusal {
   readonly failure: Failure;
   readonly winner: AcceptedChange | undefined;
   readonly differences: readonly string[];
 }
 
-/** What a kind of read gives. */
+/** The result of a read of one kind. */
 export type View<Kind extends ViewKind> = z.infer<(typeof viewSchemas)[Kind]>;
 
 export interface ControlClientOptions {
   readonly addresses: readonly string[];
   readonly clients: RpcClientPool;
-  /** For one call to one control host. */
+  /** Timeout of one call to one control host. */
   readonly timeout: Milliseconds;
   readonly sleep: (duration: Milliseconds) => Promise<void>;
 }
 
-/** How often all control hosts are asked before the command line gives up. */
-const rounds = 6;
-const firstPause: Milliseconds = 250;
+/** How many times every control host is tried before giving up. */
+const maximumRounds = 6;
+const initialBackoff: Milliseconds = 250;
 
-/** Codes after which another control host, or the same one later, may do better. */
-const passingCodes: readonly string[] = ['noQuorum', 'changeUncertain', 'notFresh'];
+/** Result codes after which a retry, on another control host or later on the same one, may succeed. */
+const transientCodes: readonly string[] = ['noQuorum', 'changeUncertain', 'notFresh'];
 
 export class ControlClient {
   readonly #connections: readonly ControlConnection[];
@@ -56,13 +56,13 @@
   }
 
   /**
-   * Submits a change and gives the revision after it.
-   * After a lost answer the very same text goes to the next control host: the change id in it makes sure that it is
-   * accepted once at most and that the first answer comes back.
+   * Submits a change and returns the resulting revision.
+   * After a lost answer the identical text is sent to the next control host. Its change id ensures that the change is
+   * accepted at most once and that the first answer is returned again.
    */
   async submit(change: Change): Promise<Result<number, ControlRefusal>> {
     const command = JSON.stringify(change);
-    const outcome = await this.#ask((connection) => connection.submit(command));
+    const outcome = await this.#callUntilFinal((connection) => connection.submit(command));
     if (outcome.type === 'answered') {
       return readChangeAnswer(outcome.answer);
     }
@@ -70,16 +70,16 @@
     return new Err(createRefusal(createFailure(code, outcome.detail)));
   }
 
-  /** A read that is not stale. */
+  /** Reads a view that is not stale. */
   async get<Kind extends ViewKind>(kind: Kind): Promise<Result<View<Kind>, ControlRefusal>> {
-    const outcome = await this.#ask((connection) => connection.get(kind));
+    const outcome = await this.#callUntilFinal((connection) => connection.get(kind));
     if (outcome.type === 'answered') {
       return readView(kind, outcome.answer);
     }
     return new Err(createRefusal(createFailure('notFresh', outcome.detail)));
   }
 
-  /** Asks every control host for itself; undefined for those that do not answer. */
+  /** Reads a view from each control host separately; undefined for hosts that do not answer. */
   async getFromEach<Kind extends ViewKind>(
     kind: Kind,
   ): Promise<readonly { readonly address: string; readonly view: View<Kind> | undefined }[]> {
@@ -95,20 +95,20 @@
     );
   }
 
-  /** The first final answer; without one, whether any of the calls may have been carried out. */
-  async #ask(
+  /** Returns the first final answer. Without one, `lost` if any call may have been executed, else `unsent`. */
+  async #callUntilFinal(
     call: (connection: ControlConnection) => Promise<CallOutcome<RawAnswer>>,
   ): Promise<CallOutcome<RawAnswer>> {
     let isUncertain = false;
     const details = new Map<string, string>();
-    for (let round = 0; round < rounds; round += 1) {
-      await this.#sleep(round === 0 ? 0 : firstPause * 2 ** (round - 1));
+    for (let round = 0; round < maximumRounds; round += 1) {
+      await this.#sleep(round === 0 ? 0 : initialBackoff * 2 ** (round - 1));
       for (const connection of this.#connections) {
         const outcome = await call(connection);
-        if (outcome.type === 'answered' && !isPassing(outcome.answer)) {
+        if (outcome.type === 'answered' && !isTransient(outcome.answer)) {
           return outcome;
         }
-        isUncertain ||= mayHaveRun(outcome);
+        isUncertain ||= mayHaveExecuted(outcome);
         details.set(connection.address, describeOutcome(connection, outcome));
       }
     }
@@ -116,11 +116,11 @@
   }
 }
 
-function isPassing(raw: RawAnswer): boolean {
-  return passingCodes.includes(findResultCodeName(raw.resultCode));
+function isTransient(raw: RawAnswer): boolean {
+  return transientCodes.includes(findResultCodeName(raw.resultCode));
 }
 
-function mayHaveRun(outcome: CallOutcome<RawAnswer>): boolean {
+function mayHaveExecuted(outcome: CallOutcome<RawAnswer>): boolean {
   if (outcome.type === 'answered') {
     return findResultCodeName(outcome.answer.resultCode) === 'changeUncertain';
   }
@@ -160,11 +160,11 @@
 }
 
 function readFailure(raw: RawAnswer): Failure {
-  return createFailure(findResultCodeName(raw.resultCode || internalNumber), raw.message);
+  return createFailure(findResultCodeName(raw.resultCode || internalErrorNumber), raw.message);
 }
 
-/** Stands in for "ok" where an answer says ok and yet cannot be read. */
-const internalNumber = 6003;
+/** Number of the result code `internal`; replaces "ok" when a successful answer cannot be decoded. */
+const internalErrorNumber = 6003;
 
 function createRefusal(failure: Failure): ControlRefusal {
   return { failure, winner: undefined, differences: [] };
--- a/src/cli/control-connection.ts
+++ b/src/cli/control-connection.ts
@@ -6,13 +6,13 @@
 
 /** One control host, called over Connect. */
 
-/** What came of one call; `lost` may have been carried out, `unsent` was not. */
+/** Outcome of one call. A `lost` call may have been executed, an `unsent` one was not. */
 export type CallOutcome<Answer> =
   | { readonly type: 'answered'; readonly answer: Answer }
   | { readonly type: 'unsent'; readonly detail: string }
   | { readonly type: 'lost'; readonly detail: string };
 
-/** An answer of control as it came. */
+/** An answer of control before decoding. */
 export interface RawAnswer {
   readonly resultCode: number;
   readonly message: string;
@@ -21,7 +21,7 @@
 
 type ControlServiceClient = Client<typeof ControlService>;
 
-/** One control host as the command line calls it. */
+/** Connection of the command line to one control host. */
 export class ControlConnection {
   readonly address: string;
   readonly #clients: RpcClientPool;
@@ -48,7 +48,7 @@
     try {
       return { type: 'answered', answer: await call(client, { timeoutMs: this.#timeout }) };
     } catch (error) {
-      // A connection that lost an answer may be silent for good; the next call opens a new one.
+      // A connection that lost an answer may never respond again; the next call opens a new one.
       this.#clients.retire(this.address);
       const detail = `${this.address}: ${ConnectError.from(error).rawMessage}`;
       return { type: isUnsent(error) ? 'unsent' : 'lost', detail };
@@ -56,11 +56,11 @@
   }
 }
 
-const unsentCauses: readonly string[] = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH'];
+const connectFailureCodes: readonly string[] = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH'];
 
-/** Whether the connection could not even be made; anything else may have reached the control host. */
+/** Whether the connection could not be established. After any other error the call may have reached the control host. */
 function isUnsent(error: unknown): boolean {
   const cause = error instanceof ConnectError ? error.cause : error;
   const code = cause instanceof Error && 'code' in cause ? cause.code : undefined;
-  return typeof code === 'string' && unsentCauses.includes(code);
+  return typeof code === 'string' && connectFailureCodes.includes(code);
 }
--- a/src/cli/environment.ts
+++ b/src/cli/environment.ts
@@ -4,13 +4,13 @@
 
 import { createIdentifier, type Milliseconds, type WallTime } from '../common/index.js';
 
-/** What the command line takes from around it; tests put their own in its place. */
+/** External dependencies of the command line; tests substitute their own. */
 export interface CommandLineEnvironment {
   readonly write: (text: string) => void;
   readonly writeError: (text: string) => void;
   readonly readText: (path: string) => string;
   readonly variables: Readonly<Record<string, string | undefined>>;
-  /** Name of the person at the terminal. */
+  /** Name of the user at the terminal. */
   readonly user: string;
   readonly wall: () => WallTime;
   readonly createChangeId: () => string;
@@ -33,7 +33,7 @@
   };
 }
 
-/** Accounts without an entry in the system's list have no name; the change then says so. */
+/** An account missing from the system's user database has no name; its changes are recorded as by `unknown`. */
 function readUserName(): string {
   try {
     return userInfo().username;
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -2,13 +2,13 @@
 
 /** Exit codes of the command line; docs/OPERATORS.md lists them. */
 export const exitCodes = {
-  /** Done. */
+  /** Success. */
   ok: 0,
-  /** Refused, or a fault that none of the others names. */
+  /** Refused, or an error that no other code covers. */
   failed: 1,
   /** Wrong flags or arguments. */
   usage: 2,
-  /** The file does not pass its checks; nothing was sent. */
+  /** The file is invalid; nothing was sent. */
   invalidFile: 3,
   /** Another change was accepted first, or the change id was used for another change. */
   conflict: 4,
@@ -28,7 +28,7 @@
   unknownHost: exitCodes.notFound,
 };
 
-/** The exit code for a failure; all that may succeed later counts as unavailable. */
+/** Returns the exit code for a failure. Failures that may succeed on a retry count as unavailable. */
 export function findExitCode(failure: Failure): ExitCode {
   const special = exitCodesByName[failure.code];
   if (special !== undefined) {
--- a/src/cli/log-lines.ts
+++ b/src/cli/log-lines.ts
@@ -2,12 +2,12 @@
 
 import { parseJson } from '../common/index.js';
 
-/** Reads the log lines that the processes of a deployment write. */
+/** Parses the log lines that the processes of a deployment write. */
 
 const lineSchema = z.looseObject({ time: z.iso.datetime(), name: z.string(), msg: z.string() });
 
-/** Fields that are of the line, not of what it says. */
-const ownFields: ReadonlySet<string> = new Set([
+/** Fields common to all lines, which are not part of the details. */
+const envelopeFields: ReadonlySet<string> = new Set([
   'time',
   'name',
   'msg',
@@ -17,25 +17,25 @@
   'requestId',
 ]);
 
-/** One line of a log. */
+/** A parsed log line. */
 export interface LogLine {
-  /** Milliseconds since the epoch, by the clock of the host that wrote it. */
+  /** Milliseconds since the Unix epoch, by the clock of the host that wrote the line. */
   readonly at: number;
   readonly process: string;
   readonly message: string;
-  /** Undefined where the line is about no single request. */
+  /** Undefined if the line does not concern a single request. */
   readonly requestId: string | undefined;
-  /** Everything else that the line says. */
+  /** All other fields of the line. */
   readonly details: Readonly<Record<string, unknown>>;
 }
 
-/** The lines of a file, and how many of them are none that a process of ours wrote. */
+/** The parsed lines of a file, and the number of lines in another format. */
 export interface ParsedLog {
   readonly lines: readonly LogLine[];
   readonly unreadable: number;
 }
 
-/** Takes JSON lines, also those that a collector put a time or a name before. */
+/** Parses JSON lines, including lines that a log collector prefixed with a time or a name. */
 export function parseLog(text: string): ParsedLog {
   const rows = text.split('\n').filter((row) => row.trim() !== '');
   const lines = rows.flatMap((row) => parseLine(row) ?? []);
@@ -49,7 +49,7 @@
     return undefined;
   }
   const { time, name, msg, requestId } = parsed.data;
-  const details = Object.entries(parsed.data).filter(([field]) => !ownFields.has(field));
+  const details = Object.entries(parsed.data).filter(([field]) => !envelopeFields.has(field));
   return {
     at: Date.parse(time),
     process: name,
--- a/src/cli/operator-settings.ts
+++ b/src/cli/operator-settings.ts
@@ -5,20 +5,20 @@
 import { formatProblem, loadSettings } from '../settings/index.js';
 import type { CommandLineEnvironment } from './environment.js';
 
-/** Where the command line finds control: flags go before variables, variables before the settings file. */
+/** How the command line finds control: flags override environment variables, which override the settings file. */
 
 /** Settings of the command line. */
 const operatorSettingsSchema = z
   .strictObject({
     control: z.array(z.string()).readonly().default([]),
-    /** Name shown to other operators; the user's name when left out. */
+    /** Name shown to other operators; defaults to the user's name. */
     operator: z.string().min(1).max(200).optional(),
   })
   .readonly();
 
 type OperatorSettings = z.infer<typeof operatorSettingsSchema>;
 
-/** Flags that every command takes. */
+/** Flags that every command accepts. */
 export interface GlobalFlags {
   readonly control: readonly string[] | undefined;
   readonly settings: string | undefined;
@@ -27,14 +27,14 @@
   readonly json: boolean;
 }
 
-/** How to reach control, and in whose name. */
+/** How to reach control, and as which operator. */
 export interface OperatorConnection {
-  /** `ip:port` of control hosts, asked in this order. */
+  /** `ip:port` of control hosts, tried in this order. */
   readonly control: readonly string[];
   readonly operator: string;
 }
 
-/** Puts flags, variables and settings together; an error is a line for the terminal. */
+/** Combines flags, environment variables and settings. An error is one line for the terminal. */
 export function resolveConnection(
   flags: GlobalFlags,
   environment: CommandLineEnvironment,
@@ -46,9 +46,9 @@
         'name a control host: --control ip:port, PISTACHIOSPOKE_CONTROL or --settings',
       );
     }
-    const wrong = control.find((address) => parseAddress(address) === undefined);
-    if (wrong !== undefined) {
-      return new Err(`"${wrong}" is no address of a control host, expected ip:port`);
+    const invalidAddress = control.find((address) => parseAddress(address) === undefined);
+    if (invalidAddress !== undefined) {
+      return new Err(`"${invalidAddress}" is no address of a control host, expected ip:port`);
     }
     const operator = flags.operator ?? settings.operator ?? environment.user;
     return new Ok({ control, operator });
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -3,7 +3,7 @@
 import type { CommandLineEnvironment } from './environment.js';
 import { exitCodes, findExitCode, type ExitCode } from './exit-codes.js';
 
-/** Says results as text for people or, with `--json`, as one JSON value for programs. */
+/** Writes results as text or, with `--json`, as one JSON value. */
 export class Output {
   readonly #environment: CommandLineEnvironment;
   readonly #isJson: boolean;
@@ -13,18 +13,18 @@
     this.#isJson = isJson;
   }
 
-  /** The result of a command that went well. */
+  /** Writes the result of a successful command. */
   succeed(value: unknown, text: string): ExitCode {
     this.#environment.write(this.#isJson ? formatJson(value) : text);
     return exitCodes.ok;
   }
 
-  /** A line beside the result; never on standard output, so that pipes stay clean. */
+  /** Writes an extra line to standard error, so that standard output holds only the result. */
   note(text: string): void {
     this.#environment.writeError(`${text}\n`);
   }
 
-  /** A refusal by control; `hints` are further lines for people. */
+  /** Writes a refusal by control; `hints` are extra lines of the text form. */
   refuse(refusal: ControlRefusal, extra: object = {}, hints: readonly string[] = []): ExitCode {
     if (this.#isJson) {
       this.#environment.write(formatJson({ ...describeRefusal(refusal), ...extra }));
@@ -35,7 +35,7 @@
     return findExitCode(refusal.failure);
   }
 
-  /** A mistake that is not control's to judge. */
+  /** Writes an error that the command line detected itself. */
   fail(exitCode: ExitCode, message: string): ExitCode {
     if (this.#isJson) {
       this.#environment.write(formatJson({ error: message }));
@@ -78,7 +78,7 @@
   return `advice: ${findResultCode(failure).advice}`;
 }
 
-/** A wall time as ISO 8601, to the second. */
+/** Formats a wall time as ISO 8601, to the second. */
 export function formatTime(milliseconds: number): string {
   return new Date(milliseconds).toISOString().replace(/\.\d+Z$/, 'Z');
 }
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -19,11 +19,11 @@
 import type { HostChangeFlags } from './submit-host-change.js';
 import type { ChangeFlags } from './submit-change.js';
 
-/** The flags, arguments and help of the operators' command line. */
+/** Flags, arguments and help of the operators' command line. */
 
 const defaultTimeoutMilliseconds = 8000;
 
-/** Runs one command and gives its exit code. */
+/** Runs one command and returns its exit code. */
 export async function runCommandLine(
   argv: readonly string[],
   environment: CommandLineEnvironment,
--- a/src/cli/submit-change.ts
+++ b/src/cli/submit-change.ts
@@ -2,7 +2,7 @@
 import type { ControlContext } from './context.js';
 import { exitCodes, type ExitCode } from './exit-codes.js';
 
-/** The part that all changes have in common: id, base revision, submission, and what to say of the outcome. */
+/** What all changes have in common: id, base revision, submission and the report of the outcome. */
 
 /** Flags of every command that changes something. */
 export interface ChangeFlags {
@@ -10,7 +10,7 @@
   readonly base: number | undefined;
 }
 
-/** The change without what all changes have in common. */
+/** A change without the fields common to all changes. */
 export type ChangeContent = DistributiveOmit<
   Change,
   'changeId' | 'baseRevision' | 'operator' | 'at'
@@ -23,18 +23,18 @@
 export interface ChangeRequest {
   readonly content: ChangeContent;
   readonly flags: ChangeFlags;
-  /** Revision that the command has read, where it has read one. */
+  /** Revision that the command has read, if any. */
   readonly readRevision: number | undefined;
-  /** The command as typed, without flags, for the lines that say how to send it again. */
-  readonly typed: string;
-  /** What was done, for people. */
-  readonly done: string;
+  /** The command without flags, for hints on how to resend it. */
+  readonly commandText: string;
+  /** Text that describes the change once it is accepted. */
+  readonly successText: string;
 }
 
 /**
  * Submits a change.
- * A resend must be the same change: with `--change-id` alone a new base would be read, and a change that was never
- * accepted would then silently replace what others did since. So the base has to come along.
+ * A resend must be the identical change, so `--change-id` requires `--base`. Otherwise a new base would be read, and a
+ * change that was never accepted would silently overwrite what others changed since.
  */
 export async function submitChange(
   context: ControlContext,
@@ -75,7 +75,7 @@
     return output.refuse(answer.val, { changeId, baseRevision }, hints);
   }
   const revision = answer.val;
-  const text = `${request.done}\nrevision ${revision} accepted (change id ${changeId}, base ${baseRevision})\n`;
+  const text = `${request.successText}\nrevision ${revision} accepted (change id ${changeId}, base ${baseRevision})\n`;
   return output.succeed({ revision, changeId, baseRevision }, text);
 }
 
@@ -103,11 +103,11 @@
 ): readonly string[] {
   if (code === 'revisionConflict') {
     return [
-      `to make it again: see what is in force (pistachiospoke get), then ${request.typed} --base REVISION`,
+      `to make it again: see what is in force (pistachiospoke get), then ${request.commandText} --base REVISION`,
     ];
   }
   if (code === 'noQuorum' || code === 'changeUncertain') {
-    return [`to resend it: ${request.typed} --change-id ${changeId} --base ${base}`];
+    return [`to resend it: ${request.commandText} --change-id ${changeId} --base ${base}`];
   }
   return [];
 }
--- a/src/cli/submit-host-change.ts
+++ b/src/cli/submit-host-change.ts
@@ -5,7 +5,7 @@
 
 /** Flags of the commands that change one host. */
 export interface HostChangeFlags extends ChangeFlags {
-  /** Change a host that has not announced itself. */
+  /** Also accept a host that has not announced itself. */
   readonly unannounced: boolean;
 }
 
@@ -16,8 +16,8 @@
 }
 
 /**
- * Submits a change of one host after a look whether there is such a host.
- * Control takes any name, as hosts come and go; without the look a mistyped name would be accepted and do nothing.
+ * Submits a change of one host after checking that the host is known.
+ * Control accepts any name, as hosts come and go. Without the check a mistyped name would be accepted and have no effect.
  */
 export async function submitHostChange(
   context: ControlContext,
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,4 +1,4 @@
-/** A table for a terminal: columns as wide as their widest cell, two spaces apart. */
+/** Formats a table for a terminal: columns as wide as their widest cell, two spaces apart. */
 export function formatTable(
   titles: readonly string[],
   rows: readonly (readonly string[])[],
@@ -15,7 +15,7 @@
   return `${padded.join('  ').trimEnd()}\n`;
 }
 
-/** Milliseconds for people: `350 ms`, `12 s`, `5 min`, `3 h`. */
+/** Formats a duration in milliseconds: `350 ms`, `12 s`, `5 min`, `3 h`. */
 export function formatDuration(milliseconds: number): string {
   const steps = [
     { limit: 1000, divisor: 1, unit: 'ms' },
@@ -28,7 +28,7 @@
 
 const nameOrder = new Intl.Collator('en', { numeric: true });
 
-/** Sorts by name, `host-2` before `host-10`. */
+/** Sorts by name in numeric order: `host-2` before `host-10`. */
 export function sortByName<Row>(
   rows: readonly Row[],
   nameOf: (row: Row) => string,
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The public entry: what a bench or a program that embeds parts of the system drives.
- * Decision controllers take events and give effects; carrying these out, with clock and randomness, is the caller's part.
+ * Public entry point for benches and for programs that embed parts of the system.
+ * Decision controllers take events and return effects. The caller executes the effects and supplies clock and randomness.
  */
 
 /** Result codes, failures, time and randomness. */
@@ -38,7 +38,7 @@
   type ConfigurationProblem,
 } from './configuration/index.js';
 
-/** The replicated state of control, and the log that feeds it. */
+/** The replicated state machine of control, and the consensus log that feeds it. */
 export {
   applyCommand,
   ControlStateMachine,
@@ -57,7 +57,7 @@
   type StateMachine,
 } from './consensus/index.js';
 
-/** Who forms a group, and who vouches for it. */
+/** Placement of groups, the leases that keep them serving, and host health. */
 export {
   planPlacement,
   type PlacementDecision,
@@ -82,7 +82,7 @@
   type HostHealthOptions,
 } from './control/hosts/index.js';
 
-/** The two ends of an attempt, and what a sidecar does beside it. */
+/** Both sides of an attempt (gateway and sidecar), and the sidecar's draining and orders. */
 export {
   RequestController,
   Router,
@@ -107,10 +107,10 @@
   type OrderOptions,
 } from './sidecar/orders/index.js';
 
-/** What a watcher believes of control. */
+/** The state that a watcher of control keeps. */
 export { WatchedStateTracker, type WatchEvent, type WatchVerdict } from './watch/index.js';
 
-/** Whole processes, as parts for a {@link LifecycleManager}. */
+/** Complete processes, as parts for a {@link LifecycleManager}. */
 export { ControlProcess, type ControlProcessOptions } from './control/index.js';
 export { createGatewayParts, type GatewayProcessOptions } from './gateway/index.js';
 export { SidecarProcess, type SidecarProcessOptions } from './sidecar/index.js';
--- a/src/report/bucket-ring.ts
+++ b/src/report/bucket-ring.ts
@@ -14,7 +14,7 @@
   notRun: number;
 }
 
-/** The buckets of one target at one resolution: the present one open, older ones encoded, the oldest forgotten. */
+/** The buckets of one target at one resolution: the current one is open, older ones are encoded, the oldest are evicted. */
 export class BucketRing {
   readonly #resolution: Resolution;
   readonly #closed: ServiceLevelBucket[] = [];
@@ -31,24 +31,24 @@
   }
 
   record(outcome: ServiceLevelOutcome, firstToken: Milliseconds | undefined, now: WallTime): void {
-    const open = this.#findOpen(now);
+    const open = this.#advanceOpenBucket(now);
     countOutcome(open, outcome);
     if (firstToken !== undefined) {
       this.#firstTokens.record(firstToken);
     }
   }
 
-  /** The buckets that are still kept at a time, oldest first. */
+  /** Returns the buckets still retained at the given time, oldest first. */
   read(now: WallTime): readonly ServiceLevelBucket[] {
     const buckets = this.#open === undefined ? [] : [...this.#closed, this.#encode(this.#open)];
-    const oldest = this.#findOldestKept(Math.max(now, this.#open?.start ?? now));
+    const oldest = this.#computeOldestKeptStart(Math.max(now, this.#open?.start ?? now));
     return buckets.filter((bucket) => bucket.start >= oldest);
   }
 
-  #findOpen(now: WallTime): OpenBucket {
+  #advanceOpenBucket(now: WallTime): OpenBucket {
     const start = findBucketStart(this.#resolution, now);
-    // A wall clock that was set back would open an older bucket after a newer one, and a window would count neither
-    // rightly; what comes until the clock has caught up goes into the newest bucket.
+    // A wall clock that was set back would open an older bucket after a newer one, and windows would count both wrongly.
+    // Until the clock has caught up, requests are counted in the newest bucket.
     if (this.#open !== undefined && start <= this.#open.start) {
       return this.#open;
     }
@@ -56,17 +56,17 @@
       this.#closed.push(this.#encode(this.#open));
       this.#firstTokens.reset();
     }
-    this.#forgetBefore(this.#findOldestKept(start));
+    this.#evictBefore(this.#computeOldestKeptStart(start));
     this.#open = { start, whole: 0, failed: 0, notRun: 0 };
     return this.#open;
   }
 
-  #findOldestKept(now: WallTime): WallTime {
+  #computeOldestKeptStart(now: WallTime): WallTime {
     const { bucketCount, bucketLength } = this.#resolution;
     return findBucketStart(this.#resolution, now) - (bucketCount - 1) * bucketLength;
   }
 
-  #forgetBefore(oldest: WallTime): void {
+  #evictBefore(oldest: WallTime): void {
     const kept = this.#closed.findIndex((bucket) => bucket.start >= oldest);
     this.#closed.splice(0, kept === -1 ? this.#closed.length : kept);
   }
--- a/src/report/burn-plot.ts
+++ b/src/report/burn-plot.ts
@@ -1,7 +1,7 @@
 import type { BurnPoint } from './burn-report.js';
 import { formatTime } from './format-values.js';
 
-/** Burn rate over time as one inline SVG. Lengths are in SVG units. */
+/** Plots burn rate over time as one inline SVG. Lengths are in SVG units. */
 
 const width = 640;
 const height = 160;
@@ -9,12 +9,12 @@
 const plotWidth = width - margin.left - margin.right;
 const plotHeight = height - margin.top - margin.bottom;
 
-/** The lowest top of the scale, so that a quiet service does not look like a burning one. */
-const smallestTop = 2;
+/** Lower bound of the scale's maximum, so that low burn rates are not magnified to look like an alert. */
+const minimumScaleTop = 2;
 
-/** Draws the points; a step without requests leaves a gap in the line. */
+/** Draws the points; a step without requests leaves a gap. */
 export function drawBurnPlot(points: readonly BurnPoint[], title: string): string {
-  const top = findTop(points);
+  const top = computeScaleTop(points);
   const first = points[0];
   const last = points[points.length - 1];
   const lines = [0, 1, top].map((burnRate) => drawGridLine(burnRate, top));
@@ -34,12 +34,12 @@
   ].join('\n');
 }
 
-function findTop(points: readonly BurnPoint[]): number {
-  return Math.ceil(Math.max(smallestTop, ...points.map(({ burnRate }) => burnRate ?? 0)));
+function computeScaleTop(points: readonly BurnPoint[]): number {
+  return Math.ceil(Math.max(minimumScaleTop, ...points.map(({ burnRate }) => burnRate ?? 0)));
 }
 
 function drawGridLine(burnRate: number, top: number): string {
-  const y = findHeight(burnRate, top);
+  const y = computeY(burnRate, top);
   const kind = burnRate === 1 ? 'allowance' : 'grid';
   return (
     `<line class="${kind}" x1="${margin.left}" x2="${width - margin.right}" y1="${y}" y2="${y}"/>` +
@@ -60,8 +60,8 @@
       return;
     }
     const x = margin.left + (plotWidth * index) / Math.max(points.length - 1, 1);
-    parts.push(`${isDrawing ? 'L' : 'M'}${x.toFixed(1)} ${findHeight(burnRate, top)}`);
-    // A lone step between gaps would be a line of no length; its round cap makes it a dot.
+    parts.push(`${isDrawing ? 'L' : 'M'}${x.toFixed(1)} ${computeY(burnRate, top)}`);
+    // A single step between gaps is a zero-length line, which the round line cap shows as a dot.
     if (!isDrawing) {
       parts.push('h0');
     }
@@ -70,6 +70,6 @@
   return parts.join(' ');
 }
 
-function findHeight(burnRate: number, top: number): string {
+function computeY(burnRate: number, top: number): string {
   return (margin.top + plotHeight * (1 - burnRate / top)).toFixed(1);
 }
--- a/src/report/burn-report.ts
+++ b/src/report/burn-report.ts
@@ -11,7 +11,7 @@
 import type { Percentiles } from './first-token-histogram.js';
 import { MergedCounters, type WindowCounts } from './merged-counters.js';
 
-/** What an objective speaks about. */
+/** What an objective measures. */
 export type Indicator =
   | { readonly type: 'availability'; readonly objective: number }
   | {
@@ -25,7 +25,7 @@
   readonly window: string;
   readonly good: number;
   readonly bad: number;
-  /** 1 spends the allowance just in 30 days; undefined without requests. */
+  /** At 1 the error budget lasts exactly 30 days; undefined without requests. */
   readonly burnRate: number | undefined;
 }
 
@@ -56,17 +56,17 @@
   readonly indicators: readonly IndicatorBurn[];
   /** Outcomes over three days. */
   readonly outcomes: { readonly whole: number; readonly failed: number; readonly notRun: number };
-  /** Over the last hour; undefined without a first token. */
+  /** Times to the first token over the last hour; undefined if there were none. */
   readonly firstTokens: Percentiles | undefined;
 }
 
 export interface BurnReport {
   readonly at: WallTime;
-  /** Gateways whose counters are in the report, and since when each counts. */
+  /** Gateways included in the report, and the wall time since which each counts. */
   readonly answered: readonly { readonly gateway: string; readonly since: WallTime }[];
   /** Gateways whose requests are missing from the report. */
   readonly unanswered: readonly { readonly gateway: string; readonly reason: string }[];
-  /** Requests that gateways had no room to count. */
+  /** Requests not counted because a gateway already tracked its maximum number of targets. */
   readonly unrecorded: number;
   readonly targets: readonly TargetBurn[];
   /** Targets with requests but without an objective. */
@@ -87,9 +87,9 @@
 const plotWindow: BurnWindow = { name: 'step', length: plotStep, resolution: minuteResolution };
 const outcomeWindow = burnWindows[burnWindows.length - 1] ?? percentileWindow;
 
-/** Works out burn rates from what the gateways counted; pure, so that a saved set of counters gives the same report. */
+/** Computes burn rates from the gateways' counters. Pure, so that saved counters reproduce the same report. */
 export function createBurnReport(input: BurnReportInput): BurnReport {
-  const answers = findAnswers(input.gateways);
+  const answers = deduplicateAnswers(input.gateways);
   const counters = answers.flatMap((answer) => answer.counters.targets);
   const withObjective = new Set(input.objectives.map((objective) => objective.target));
   const seen = new Set(counters.map((target) => target.target));
@@ -103,15 +103,15 @@
   };
 }
 
-/** Whether any alert of the report is burning. */
+/** Whether any alert of the report is firing. */
 export function isBurning(report: BurnReport): boolean {
   return report.targets.some((target) =>
     target.indicators.some(({ alerts }) => alerts.some((alert) => alert.isBurning)),
   );
 }
 
-/** A gateway that answered at two of its addresses would count twice; its first answer stands. */
-function findAnswers(gateways: readonly GatewayAnswer[]): readonly CountersAnswer[] {
+/** Keeps the first answer of each gateway, so that a gateway reached at two addresses is not counted twice. */
+function deduplicateAnswers(gateways: readonly GatewayAnswer[]): readonly CountersAnswer[] {
   const answers = new Map<string, CountersAnswer>();
   for (const answer of gateways) {
     if (answer.type === 'counters' && !answers.has(answer.gateway)) {
@@ -170,7 +170,7 @@
   return {
     indicator,
     windows,
-    alerts: burnAlertRules.map((rule) => judgeRule(rule, windows)),
+    alerts: burnAlertRules.map((rule) => evaluateRule(rule, windows)),
     points: listPoints(indicator, merged, at),
   };
 }
@@ -181,11 +181,11 @@
   window: BurnWindow,
   at: WallTime,
 ): WindowBurn {
-  const { good, bad } = judgeCounts(indicator, merged.sum(window, at));
+  const { good, bad } = classifyCounts(indicator, merged.sum(window, at));
   return { window: window.name, good, bad, burnRate: computeBurnRate(indicator, good, bad) };
 }
 
-function judgeCounts(
+function classifyCounts(
   indicator: Indicator,
   counts: WindowCounts,
 ): { readonly good: number; readonly bad: number } {
@@ -204,7 +204,7 @@
   return total === 0 ? undefined : bad / total / (1 - indicator.objective);
 }
 
-function judgeRule(rule: BurnAlertRule, windows: readonly WindowBurn[]): AlertState {
+function evaluateRule(rule: BurnAlertRule, windows: readonly WindowBurn[]): AlertState {
   const { severity, short, long, threshold } = rule;
   const isBurning = [short, long].every(({ name }) => {
     const burnRate = windows.find(({ window }) => window === name)?.burnRate;
--- a/src/report/burn-windows.ts
+++ b/src/report/burn-windows.ts
@@ -2,27 +2,27 @@
 import { hourResolution, minuteResolution, type Resolution } from './counters.js';
 
 /**
- * Windows over which burn rates are looked at.
- * A burn rate is the share of bad requests over the share that the objective allows: at 1 the allowance of 30 days
- * lasts just 30 days. An alert needs both of its windows above the threshold: the long one tells that enough was lost
- * to matter, the short one that it is still being lost.
+ * Windows over which burn rates are measured.
+ * A burn rate is the share of bad requests divided by the share that the objective allows: at 1 the error budget of
+ * 30 days lasts exactly 30 days. An alert fires when both of its windows reach the threshold: the long one shows that
+ * the loss is significant, the short one that it is still going on.
  */
 
 const minute = 60_000;
 const hour = 60 * minute;
 const day = 24 * hour;
 
-/** One window; a whole number of buckets that ends with the present one. */
+/** One window: a whole number of buckets, ending with the current one. */
 export interface BurnWindow {
   readonly name: string;
   readonly length: Milliseconds;
   readonly resolution: Resolution;
 }
 
-/** What to do about a burning alert: wake someone, or look at it in the day. */
+/** How to respond to a firing alert: page someone at once, or handle it in working hours. */
 export type BurnSeverity = 'page' | 'ticket';
 
-/** Two windows and the burn rate at which they alert. */
+/** Two windows and the burn rate at which the alert fires. */
 export interface BurnAlertRule {
   readonly severity: BurnSeverity;
   readonly short: BurnWindow;
@@ -49,10 +49,10 @@
   threeDays,
 ];
 
-/** Window of the percentiles that a report shows. */
+/** Window of the percentiles in a report. */
 export const percentileWindow = oneHour;
 
-/** Thresholds spend 2%, 5%, 10% and 10% of 30 days' allowance within the long window. */
+/** At their thresholds the rules spend 2%, 5%, 10% and 10% of the 30-day error budget within the long window. */
 export const burnAlertRules: readonly BurnAlertRule[] = [
   { severity: 'page', short: fiveMinutes, long: oneHour, threshold: 14.4 },
   { severity: 'page', short: halfHour, long: sixHours, threshold: 6 },
--- a/src/report/counters.ts
+++ b/src/report/counters.ts
@@ -2,21 +2,21 @@
 
 import type { WallTime } from '../common/index.js';
 
-/** Counters of service levels as a gateway keeps them and as `GatewayService.Counters` carries them. */
+/** Service-level counters as a gateway keeps them and as `GatewayService.Counters` carries them. */
 
 /**
- * How a request ended, as far as its service level goes.
- * Requests that the caller got wrong and requests that the caller gave up on are not recorded at all.
+ * Outcome of a request for its service level.
+ * Invalid requests and requests that the caller cancelled are not recorded.
  */
 export type ServiceLevelOutcome = 'whole' | 'failed' | 'notRun';
 
 const minute = 60_000;
 const hour = 60 * minute;
 
-/** A resolution at which counters are kept. Times are in milliseconds. */
+/** Length and number of the buckets in which counters are kept. Times are in milliseconds. */
 export interface Resolution {
   readonly bucketLength: number;
-  /** Buckets kept, the present one included. */
+  /** Buckets kept, including the current one. */
   readonly bucketCount: number;
 }
 
@@ -26,7 +26,7 @@
 /** One-hour buckets for 3 days. */
 export const hourResolution: Resolution = { bucketLength: hour, bucketCount: 72 };
 
-/** Targets that one gateway keeps counters of; what goes beyond is counted as unrecorded. */
+/** Maximum targets counted by one gateway. Requests of further targets are counted as unrecorded. */
 export const maximumTargets = 64;
 
 const bucketSchema = z
@@ -49,12 +49,12 @@
   })
   .readonly();
 
-/** All that one gateway knows of its service levels. */
+/** All service-level counters of one gateway. */
 export const serviceLevelCountersSchema = z
   .strictObject({
-    /** Wall time since which it counts: its last start. */
+    /** Wall time since which the gateway counts, that is, its last start. */
     since: z.number(),
-    /** Requests of targets beyond the bound, which are in no bucket. */
+    /** Requests of targets beyond the maximum, which are in no bucket. */
     unrecorded: z.int().min(0),
     targets: z.array(targetSchema).max(maximumTargets).readonly(),
   })
@@ -64,7 +64,7 @@
 export type TargetCounters = z.infer<typeof targetSchema>;
 export type ServiceLevelCounters = z.infer<typeof serviceLevelCountersSchema>;
 
-/** What became of asking one gateway for its counters. */
+/** Outcome of requesting the counters of one gateway. */
 export type GatewayAnswer =
   | {
       readonly type: 'counters';
@@ -73,7 +73,7 @@
     }
   | { readonly type: 'noAnswer'; readonly gateway: string; readonly reason: string };
 
-/** Reads the JSON text of `CountersResponse.counters`; what this version cannot read counts as no answer. */
+/** Parses the JSON text of `CountersResponse.counters`. Text that this version cannot read counts as no answer. */
 export function parseGatewayAnswer(gateway: string, text: string): GatewayAnswer {
   const parsed = serviceLevelCountersSchema.safeParse(parseJson(text));
   if (!parsed.success) {
@@ -82,7 +82,7 @@
   return { type: 'counters', gateway, counters: parsed.data };
 }
 
-/** Start of the bucket that holds a time. */
+/** Returns the start of the bucket that contains a time. */
 export function findBucketStart(resolution: Resolution, time: WallTime): WallTime {
   return Math.floor(time / resolution.bucketLength) * resolution.bucketLength;
 }
--- a/src/report/first-token-histogram.ts
+++ b/src/report/first-token-histogram.ts
@@ -9,7 +9,7 @@
 
 /**
  * Histograms of the time to the first token: two significant digits (one part in 128) up to ten minutes,
- * about 8 KB while open and some hundred bytes in their compressed encoding.
+ * about 8 KB in memory and some hundred bytes in their compressed encoding.
  */
 
 const highestMilliseconds = 600_000;
@@ -22,17 +22,17 @@
   readonly p99: Milliseconds;
 }
 
-/** A histogram that grows as values come; its memory does not. */
+/** A histogram of fixed memory size, whatever the number of values. */
 export class FirstTokenHistogram {
   readonly #histogram = createHistogram();
 
   record(milliseconds: Milliseconds): void {
-    // A value beyond the range would throw, and a lost answer must not be made of a slow one.
+    // The library throws on a value beyond its range, and recording a slow answer must not make the request fail.
     const clamped = Math.min(Math.max(Math.round(milliseconds), 0), highestMilliseconds);
     this.#histogram.recordValue(clamped);
   }
 
-  /** Adds all values of an encoded histogram; false when it cannot be read. */
+  /** Adds all values of an encoded histogram; returns false if it cannot be decoded. */
   addEncoded(text: string): boolean {
     const other = decode(text);
     if (other === undefined) {
@@ -46,7 +46,7 @@
     return this.#histogram.totalCount;
   }
 
-  /** How many values are at most the limit, to the precision of the histogram. */
+  /** Counts the values up to and including the limit, to the precision of the histogram. */
   countUpTo(limit: Milliseconds): number {
     const last = this.#histogram.countsArrayIndex(Math.min(Math.round(limit), highestMilliseconds));
     let count = 0;
@@ -56,7 +56,7 @@
     return count;
   }
 
-  /** Undefined when it is empty. */
+  /** Returns undefined if the histogram is empty. */
   readPercentiles(): Percentiles | undefined {
     if (this.count === 0) {
       return undefined;
@@ -68,7 +68,7 @@
     };
   }
 
-  /** The compressed encoding, or null when it is empty. */
+  /** Returns the compressed encoding, or null if the histogram is empty. */
   encode(): string | null {
     return this.count === 0 ? null : encodeIntoCompressedBase64(this.#histogram);
   }
@@ -98,10 +98,10 @@
   }
 }
 
-/** Without WebAssembly the library always gives this class, which alone shows the counts. */
+/** Without WebAssembly the library always returns this class, the only one that exposes the counts. */
 function requireJsHistogram(histogram: unknown): JsHistogram {
   if (histogram instanceof JsHistogram) {
     return histogram;
   }
-  throw new Error('the histogram library gave another class than asked for');
+  throw new Error('the histogram library did not return a JsHistogram');
 }
--- a/src/report/format-html.ts
+++ b/src/report/format-html.ts
@@ -15,7 +15,7 @@
 .burning { color: #b00; font-weight: bold; }
 `;
 
-/** The report as one page that needs nothing else: no script, no style sheet, no picture from elsewhere. */
+/** Formats the report as a self-contained page, without scripts or external style sheets or images. */
 export function formatBurnPage(report: BurnReport): string {
   const title = `Service-level burn at ${formatTime(report.at)}`;
   return `${[
@@ -75,7 +75,7 @@
   return `<table>\n${rows.join('\n')}\n</table>`;
 }
 
-/** Names come from operators' configuration; unescaped they could carry markup into the page. */
+/** Names come from operators' configuration; unescaped they could inject markup into the page. */
 function escapeHtml(text: string): string {
   return text
     .replaceAll('&', '&amp;')
--- a/src/report/format-text.ts
+++ b/src/report/format-text.ts
@@ -2,7 +2,7 @@
 import { burnWindows } from './burn-windows.js';
 import { formatBurnRate, formatIndicator, formatTime } from './format-values.js';
 
-/** The report as a table for terminals. */
+/** Formats the report as a table for terminals. */
 export function formatBurnTable(report: BurnReport): string {
   const header = ['target', 'objective', ...burnWindows.map(({ name }) => name), 'state'];
   const rows = report.targets.flatMap((target) =>
@@ -17,13 +17,13 @@
   return `${sections.filter((section) => section !== '').join('\n\n')}\n`;
 }
 
-/** The report as JSON; what is not known is null. */
+/** Formats the report as JSON; undefined values become null. */
 export function formatBurnJson(report: BurnReport): string {
   const replaceUndefined = (_key: string, value: unknown): unknown => value ?? null;
   return `${JSON.stringify(report, replaceUndefined, 2)}\n`;
 }
 
-/** One line for each thing to know about where the numbers come from; the page shows the same lines. */
+/** Describes the sources of the numbers and what is missing, one line each; shared by the table and the page. */
 export function formatSources(report: BurnReport): readonly string[] {
   const lines = report.answered.map(
     ({ gateway, since }) => `${gateway} counts since ${formatTime(since)}`,
@@ -40,7 +40,7 @@
   return lines;
 }
 
-/** `PAGE 1h/5m`, `ticket 3d/6h`, `ok` or `no requests`. */
+/** Formats the alert state: `PAGE 1h/5m`, `ticket 3d/6h`, `ok` or `no requests`. */
 export function formatState(indicator: IndicatorBurn): string {
   const burning = indicator.alerts.filter((alert) => alert.isBurning);
   if (burning.length > 0) {
@@ -50,7 +50,7 @@
   return hasRequests ? 'ok' : 'no requests';
 }
 
-/** Counts and percentiles of one target in a line. */
+/** Formats the counts and percentiles of one target as one line. */
 export function formatOutcomes(target: TargetBurn): string {
   const { whole, failed, notRun } = target.outcomes;
   const outcomes = `${target.target}: 3 d: ${whole} whole, ${failed} failed, ${notRun} not run`;
--- a/src/report/format-values.ts
+++ b/src/report/format-values.ts
@@ -1,9 +1,9 @@
 import { assertNever, type WallTime } from '../common/index.js';
 import type { Indicator } from './burn-report.js';
 
-/** How values of a report are written for people, in the table and on the page alike. */
+/** Formats values of a report, for both the table and the page. */
 
-/** Burn rate with one digit after the point; a dash without requests. */
+/** Burn rate with one decimal; a dash without requests. */
 export function formatBurnRate(burnRate: number | undefined): string {
   return burnRate === undefined ? '-' : burnRate.toFixed(1);
 }
--- a/src/report/merged-counters.ts
+++ b/src/report/merged-counters.ts
@@ -8,7 +8,7 @@
 import type { BurnWindow } from './burn-windows.js';
 import { FirstTokenHistogram, type Percentiles } from './first-token-histogram.js';
 
-/** Sums over some buckets. */
+/** Sums over the buckets of a window. */
 export interface WindowCounts {
   readonly whole: number;
   readonly failed: number;
@@ -18,7 +18,7 @@
   readonly slow: number;
 }
 
-export const noCounts: WindowCounts = { whole: 0, failed: 0, notRun: 0, fast: 0, slow: 0 };
+export const zeroCounts: WindowCounts = { whole: 0, failed: 0, notRun: 0, fast: 0, slow: 0 };
 
 /** The counters of one target, summed over the gateways that answered. */
 export class MergedCounters {
@@ -26,7 +26,7 @@
   readonly #hours: ReadonlyMap<WallTime, WindowCounts>;
   readonly #counters: readonly TargetCounters[];
 
-  /** @param threshold - Limit of a fast first token; undefined when no objective asks. */
+  /** @param threshold - Longest time to the first token that counts as fast; undefined without such an objective. */
   constructor(counters: readonly TargetCounters[], threshold: Milliseconds | undefined) {
     this.#counters = counters;
     this.#minutes = mergeBuckets(
@@ -39,19 +39,19 @@
     );
   }
 
-  /** Sum over the window that ends with the bucket holding `at`. */
+  /** Sums the window that ends with the bucket containing `at`. */
   sum(window: BurnWindow, at: WallTime): WindowCounts {
     const { bucketLength } = window.resolution;
     const buckets = this.#findBuckets(window);
     const newest = findBucketStart(window.resolution, at);
-    let counts = noCounts;
+    let counts = zeroCounts;
     for (let start = newest; start > newest - window.length; start -= bucketLength) {
-      counts = addCounts(counts, buckets.get(start) ?? noCounts);
+      counts = addCounts(counts, buckets.get(start) ?? zeroCounts);
     }
     return counts;
   }
 
-  /** Percentiles of the time to the first token over a window of minutes; undefined when there was none. */
+  /** Percentiles of the time to the first token over a window at minute resolution; undefined if there were none. */
   readPercentiles(window: BurnWindow, at: WallTime): Percentiles | undefined {
     const newest = findBucketStart(window.resolution, at);
     const histogram = new FirstTokenHistogram();
@@ -75,7 +75,10 @@
 ): ReadonlyMap<WallTime, WindowCounts> {
   const merged = new Map<WallTime, WindowCounts>();
   for (const bucket of buckets) {
-    const counts = addCounts(merged.get(bucket.start) ?? noCounts, countBucket(bucket, threshold));
+    const counts = addCounts(
+      merged.get(bucket.start) ?? zeroCounts,
+      countBucket(bucket, threshold),
+    );
     merged.set(bucket.start, counts);
   }
   return merged;
--- a/src/report/recorder.ts
+++ b/src/report/recorder.ts
@@ -14,8 +14,8 @@
 }
 
 /**
- * Counts how requests ended, for `report burn`; one in each gateway, in memory only.
- * Bounded: {@link maximumTargets} targets of 432 buckets, each some hundred bytes once its time is over.
+ * Counts request outcomes for `report burn`. Each gateway has one, in memory only.
+ * Memory is bounded: {@link maximumTargets} targets of 432 buckets, each some hundred bytes once closed.
  */
 export class ServiceLevelRecorder {
   readonly #since: WallTime;
@@ -28,7 +28,7 @@
   }
 
   /**
-   * Counts one request that got its final answer.
+   * Counts one request that received its final answer.
    * @param target - Name of the group declaration or plain service.
    * @param firstTokenMilliseconds - From the request's arrival to the first byte of its answer; undefined if none came.
    * @param now - Wall time of the final answer.
@@ -39,7 +39,7 @@
     firstTokenMilliseconds: Milliseconds | undefined,
     now: WallTime,
   ): void {
-    const rings = this.#findRings(target, now);
+    const rings = this.#findOrCreateRings(target, now);
     if (rings === undefined) {
       this.#unrecorded += 1;
       return;
@@ -48,7 +48,7 @@
     rings.hours.record(outcome, firstTokenMilliseconds, now);
   }
 
-  /** The counters that are still kept at a wall time. */
+  /** Returns the counters still retained at a wall time. */
   read(now: WallTime): ServiceLevelCounters {
     const targets = [...this.#targets].map(([target, rings]) => ({
       target,
@@ -62,13 +62,13 @@
     };
   }
 
-  #findRings(target: string, now: WallTime): TargetRings | undefined {
+  #findOrCreateRings(target: string, now: WallTime): TargetRings | undefined {
     const known = this.#targets.get(target);
     if (known !== undefined) {
       return known;
     }
     if (this.#targets.size >= maximumTargets) {
-      this.#forgetQuietTargets(now);
+      this.#evictIdleTargets(now);
     }
     if (this.#targets.size >= maximumTargets) {
       return undefined;
@@ -81,8 +81,8 @@
     return rings;
   }
 
-  /** Targets that left the configuration days ago would otherwise keep new ones out for ever. */
-  #forgetQuietTargets(now: WallTime): void {
+  /** Evicts targets without retained buckets. Targets removed from the configuration days ago would otherwise block new ones forever. */
+  #evictIdleTargets(now: WallTime): void {
     for (const [target, rings] of this.#targets) {
       if (rings.hours.read(now).length === 0) {
         this.#targets.delete(target);
