--- a/__tests__/common.test.ts
+++ b/__tests__/common.test.ts
@@ -3,14 +3,14 @@
 import { Blackboard, resultCodeNames, resultCodes } from '../src/common/index.js';
 
 describe('result codes', () => {
-  it('gives every code a number of its own', () => {
+  it('gives every code a unique number', () => {
     const numbers = resultCodeNames().map((name) => resultCodes[name].number);
     expect(new Set(numbers).size).toBe(numbers.length);
   });
 });
 
 describe('blackboard', () => {
-  it('gives each section one owner', () => {
+  it('allows only one owner per section', () => {
     const board = new Blackboard({ count: 0 });
     const write = board.own('count');
     write(3);
--- a/__tests__/common/bounded-log.test.ts
+++ b/__tests__/common/bounded-log.test.ts
@@ -18,8 +18,8 @@
   return { lines, clock, log };
 }
 
-describe('lines of one kind', () => {
-  it('are bounded, and say how many were left out', () => {
+describe('rate-limited log', () => {
+  it('limits a burst and reports the number of suppressed lines', () => {
     const { lines, clock, log } = createLog();
     for (let index = 0; index < 1000; index += 1) {
       log.note({ requestId: `r-${index}` }, 'request ended');
@@ -30,7 +30,7 @@
     expect(lines.at(-1)).toMatchObject({ requestId: 'later', leftOut: 800 });
   });
 
-  it('are all written while there are few', () => {
+  it('writes every line below the limit', () => {
     const { lines, clock, log } = createLog();
     for (let index = 0; index < 400; index += 1) {
       clock.now += 20;
--- a/__tests__/configuration/configuration.test.ts
+++ b/__tests__/configuration/configuration.test.ts
@@ -44,12 +44,12 @@
 }
 
 describe('configuration documents', () => {
-  it('takes a right one without a word', () => {
+  it('accepts a valid document without warnings', () => {
     expect(findProblems(text)).toEqual([]);
     expect(parseConfiguration(text, 'c.jsonc').unwrap().groups).toHaveLength(2);
   });
 
-  it('names the line of what a schema refuses, deep inside lists', () => {
+  it('reports the line of schema violations nested inside lists', () => {
     const document = text
       .replace('"replicaSize": 4', '"replicaSize": 0')
       .replace('"model"', '"modle"');
@@ -60,10 +60,10 @@
     ]);
   });
 
-  // Symptom: requests of one client account count against another, or reach groups they should not.
-  // Sequence: an operator copies an account and changes its name only.
-  // Cause: two accounts with one key; which of them a caller is taken for is a matter of order.
-  it('refuses repeated names and keys', () => {
+  // Guards against requests of one client account counting against another, or reaching groups that they should not.
+  // An operator copies an account and changes only its name: two accounts then share a key, and their order decides which of
+  // them a caller is identified as.
+  it('rejects duplicate names and keys', () => {
     const document = text.replace(keyB, keyA).replace('"assist-next"', '"rental-desk"');
     expect(findProblems(document)).toEqual([
       'c.jsonc:19:7: error: services[0].name: expected one of its own, but groups 1 has it too',
@@ -71,7 +71,7 @@
     ]);
   });
 
-  it('refuses names that nothing declares', () => {
+  it('rejects undeclared names', () => {
     const document = text
       .replace('"services": ["rental-desk"]', '"services": ["rentals"]')
       .replace('"target": "assist-llm"', '"target": "assist"');
@@ -81,7 +81,7 @@
     ]);
   });
 
-  it('warns of hosts that two declarations could claim', () => {
+  it('warns of hosts that match two group declarations', () => {
     const document = text.replace('["next"]', '["next", "llm"]');
     expect(findProblems(document)).toEqual([
       'c.jsonc:12:7: warning: groups[1].hosts: a host could match these hosts and those of "assist-llm" too',
@@ -90,7 +90,7 @@
 });
 
 describe('differences of configurations', () => {
-  it('says one line for each part or value', () => {
+  it('describes each changed part or value in one line', () => {
     const before = parseConfiguration(text, 'c.jsonc').unwrap();
     const changed = text
       .replace('"replicaSize": 4', '"replicaSize": 8, "replicas": 2')
--- a/__tests__/configuration/examples.test.ts
+++ b/__tests__/configuration/examples.test.ts
@@ -14,7 +14,7 @@
 const folder = 'examples';
 const operatorSettings = 'operator.jsonc';
 
-/** Problems of one example, checked as what its name says it is. */
+/** Finds the problems of an example file; the first word of its name selects the schema. */
 function findProblems(file: string): readonly string[] {
   const text = readFileSync(file, 'utf8');
   const name = file.slice(file.lastIndexOf('/') + 1);
@@ -31,7 +31,7 @@
     case 'sidecar':
       return describeErrors(parseSettings(sidecarSettingsSchema, file, text));
     default:
-      return [`${file}: no test knows what this is`];
+      return [`${file}: no schema for this file name`];
   }
 }
 
@@ -44,7 +44,7 @@
   .filter((name) => name.endsWith('.jsonc') && !name.endsWith(operatorSettings));
 
 describe('examples', () => {
-  it('are there for the local trial and both users', () => {
+  it('exist for the local trial and both users', () => {
     expect(files.length).toBeGreaterThanOrEqual(26);
   });
 
--- a/__tests__/metrics.test.ts
+++ b/__tests__/metrics.test.ts
@@ -7,18 +7,17 @@
 
 describe('metrics', () => {
   /*
-   * Symptom: a gateway or control host without `metrics` in its settings grows by megabytes an hour.
-   * Sequence: it serves; every request counts a few metrics that go nowhere.
-   * Cause: the client's mock mode keeps all it is given, for tests to read.
+   * Guards against a memory leak: a gateway or control host without `metrics` in its settings grew by megabytes per hour,
+   * because every request counts a few metrics and the client's mock mode keeps all of them for tests to read.
    */
-  it('make no client where there is nowhere to send to', async () => {
+  it('create no client without a target', async () => {
     const metrics = createMetrics(undefined, {});
     metrics.increment('gateway.requests');
     await metrics.close();
     expect(StatsD).not.toHaveBeenCalled();
   });
 
-  it('are sent to the target of the settings', async () => {
+  it('are sent by a client if the settings name a target', async () => {
     const metrics = createMetrics({ host: '127.0.0.1', port: 9 }, { gateway: 'gateway-1' });
     metrics.increment('gateway.requests');
     await metrics.close();
--- a/__tests__/settings/pages.test.ts
+++ b/__tests__/settings/pages.test.ts
@@ -12,14 +12,14 @@
   sidecarSettingsSchema,
 } from '../../src/settings/index.js';
 
-/** The parts of a JSON schema that name settings. */
+/** The properties of a JSON schema that describe settings. */
 interface SchemaNode {
   readonly properties?: Readonly<Record<string, SchemaNode>>;
   readonly items?: SchemaNode;
   readonly default?: unknown;
 }
 
-/** A setting and its default as JSON text; undefined for none. */
+/** A setting and its default as JSON text; undefined if it has no default. */
 interface NamedSetting {
   readonly path: string;
   readonly defaultText: string | undefined;
@@ -42,7 +42,7 @@
   return start < 0 ? '' : text.slice(start, end < 0 ? undefined : end);
 }
 
-/** Settings that have no row, or a row with another default. */
+/** Finds settings that have no row in the page, or a row with a different default. */
 function findUndescribed(schema: z.ZodType, section: string): readonly string[] {
   const node = z.toJSONSchema(schema, { io: 'input', unrepresentable: 'any' }) as SchemaNode;
   const rows = section.split('\n').map((line) => line.split('|').map((cell) => cell.trim()));
--- a/__tests__/settings/settings.test.ts
+++ b/__tests__/settings/settings.test.ts
@@ -32,9 +32,9 @@
 }
 
 describe('settings', () => {
-  // Symptom: no gateway of a deployment starts; each ends at once with "expected int, received number". Cause: operators scale bounds to
-  // the size of a deployment, so a bound on repeats need not be a whole number.
-  it('take a bound on repeats that is no whole number', () => {
+  // Guards against gateways that fail to start with "expected int, received number". Operators scale the limits to the size of a
+  // deployment, so the retry budget need not be an integer.
+  it('accepts a retry burst that is not an integer', () => {
     const text = `{
       "name": "gateway-1",
       "failureDomain": "bole",
@@ -47,14 +47,14 @@
     expect(settings.bounds.repeatBurst).toBe(60.5);
   });
 
-  it('fills in what the file leaves out', () => {
+  it('applies defaults for omitted settings', () => {
     const settings = parseSettings(gatewaySettingsSchema, 'gateway.jsonc', gatewayText).unwrap();
     expect(settings.limits.requestTimeoutMilliseconds).toBe(120_000);
     expect(settings.log.level).toBe('info');
     expect(settings.metrics).toBeUndefined();
   });
 
-  it('names line, column and what was expected', () => {
+  it('reports line, column and what was expected', () => {
     const text = gatewayText
       .replace('"gateway-1"', '17')
       .replace('"10.0.0.4:8410"', '"entry-host:8410"')
@@ -67,33 +67,31 @@
     ]);
   });
 
-  it('names the place of a syntax error', () => {
+  it('reports the location of a syntax error', () => {
     const text = gatewayText.replace('"bole",', '"bole"');
     expect(findProblems(text)).toEqual(['gateway.jsonc:6:3: error: not valid JSON: CommaExpected']);
     expect(findProblems('')).toEqual(['gateway.jsonc:1:1: error: the file is empty']);
   });
 
-  // Symptom: a gateway listens at an address that the settings seem not to have.
-  // Sequence: an operator adds a line and overlooks that the name stands further down already.
-  // Cause: JSON parsers take the last of two equal names without a word.
-  it('refuses a name that stands twice', () => {
+  // Guards against a gateway that listens on another address than the settings seem to say. An operator adds a line and
+  // overlooks that the same name is already further down; JSON parsers silently use the last of two equal names.
+  it('rejects duplicate names', () => {
     const text = gatewayText.replace('"region"', '"listen": "10.0.0.4:8499", "region"');
     expect(findProblems(text)).toEqual([
       'gateway.jsonc:6:3: error: listen: this name stands twice in one object, expected once',
     ]);
   });
 
-  // Symptom: other hosts connect to themselves, or to nothing, when they follow an announced address.
-  // Sequence: a sidecar listens at all interfaces and announces 0.0.0.0 to control.
-  // Cause: the address to bind and the address to announce were taken for one.
-  it('refuses all interfaces where others are told the address', () => {
+  // Guards against hosts that connect to themselves, or to nothing, when they use an announced address. This happens when the
+  // address to bind is also the address to announce: a sidecar listens on all interfaces and announces 0.0.0.0 to control.
+  it('rejects the unspecified address for an announced address', () => {
     const text = gatewayText.replace('10.0.0.4:8410', '0.0.0.0:8410');
     expect(findProblems(text)).toEqual([
       'gateway.jsonc:7:3: error: internal: expected the IP number by which other hosts reach this one, not all interfaces',
     ]);
   });
 
-  it('takes flags before the file and reports their mistakes at the flag', () => {
+  it('gives flags precedence over the file and reports their problems at the flag', () => {
     const level = parseOverride('log.level=debug') ?? { path: '', value: '' };
     const wrong = parseOverride('limits.maximumBodyBytes=many') ?? { path: '', value: '' };
     const settings = parseSettings(gatewaySettingsSchema, 'gateway.jsonc', gatewayText, [level]);
@@ -104,14 +102,14 @@
     expect(parseOverride('log.level')).toBeUndefined();
   });
 
-  it('says that a file cannot be read', () => {
+  it('reports a file that cannot be read', () => {
     const result = loadSettings(sidecarSettingsSchema, '/nowhere/sidecar.jsonc');
     expect(result.err && result.val.map((problem) => problem.message)).toEqual([
       expect.stringContaining('cannot be read: ENOENT'),
     ]);
   });
 
-  it('refuses voters that are not distinct and elections shorter than heartbeats allow', () => {
+  it('rejects duplicate voters and an election timeout too short for the heartbeat interval', () => {
     const text = JSON.stringify({
       name: 'control-1',
       region: 'addis',
@@ -133,7 +131,7 @@
 });
 
 describe('addresses', () => {
-  it('takes IP numbers with a port only', () => {
+  it('accepts only IP addresses with a port', () => {
     expect(parseAddress('10.0.0.7:8400')).toEqual({ host: '10.0.0.7', port: 8400 });
     expect(parseAddress('[fd00::7]:8400')).toEqual({ host: 'fd00::7', port: 8400 });
     for (const text of [
--- a/src/common/address.ts
+++ b/src/common/address.ts
@@ -1,26 +1,29 @@
 import { isIP } from 'node:net';
 
-/** Addresses: IP number and port, because hosts of the system find each other without names. */
+/** Addresses consist of an IP address and a port; hosts of the system find each other without DNS names. */
 
-/** An address taken apart, as sockets want it. */
+/** Host and port, in the form that the socket APIs take. */
 export interface SocketAddress {
   readonly host: string;
   readonly port: number;
 }
 
-const highestPort = 65_535;
+const maximumPort = 65_535;
 
-/** Takes `ip:port` or `[ip]:port` apart; undefined for anything else, host names included. */
+/** Parses `ip:port` or `[ip]:port`. Returns undefined for anything else, including host names and port 0. */
 export function parseAddress(text: string): SocketAddress | undefined {
   const address = readAddress(text);
   return address === undefined || address.port === 0 ? undefined : address;
 }
 
-/** The same for an address that was checked where it came in; a server that is to take any free port listens at port 0. */
+/**
+ * Like `parseAddress`, for an address that was validated on input: throws if it is invalid.
+ * Accepts port 0, with which a server listens on any free port.
+ */
 export function splitAddress(text: string): SocketAddress {
   const address = readAddress(text);
   if (address === undefined) {
-    throw new TypeError(`not an address: ${text}`);
+    throw new TypeError(`invalid address, expected ip:port: ${text}`);
   }
   return address;
 }
@@ -34,10 +37,10 @@
   const host = version6 ?? version4 ?? '';
   const port = Number(portText);
   const isHostValid = isIP(host) === (version6 === undefined ? 4 : 6);
-  return isHostValid && port <= highestPort ? { host, port } : undefined;
+  return isHostValid && port <= maximumPort ? { host, port } : undefined;
 }
 
-/** `ip:port`, with brackets around an IP number of version 6. */
+/** Formats `ip:port`, with brackets around an IPv6 address. */
 export function formatAddress(host: string, port: number): string {
   return isIP(host) === 6 ? `[${host}]:${port}` : `${host}:${port}`;
 }
--- a/src/common/blackboard.ts
+++ b/src/common/blackboard.ts
@@ -1,6 +1,6 @@
 /**
- * The shared state of one role, in named sections.
- * Any controller reads any section; only the one owner of a section writes it.
+ * Shared state of the controllers of one role, in named sections (the blackboard pattern).
+ * Any controller may read any section; only the owner of a section may write it.
  */
 export class Blackboard<Sections extends object> {
   readonly #sections: Sections;
@@ -10,14 +10,15 @@
     this.#sections = { ...initial };
   }
 
-  /** The present value of a section; treat it as immutable. */
+  /** The current value of a section; treat it as immutable. */
   read<Name extends keyof Sections>(name: Name): Readonly<Sections[Name]> {
     return this.#sections[name];
   }
 
   /**
-   * Takes ownership of a section and returns its only writer.
-   * Two writers of one section would overwrite each other's decisions; the second claim throws at start-up.
+   * Claims a section and returns the only function that can write it.
+   * Throws if the section already has an owner, because two writers would overwrite each other's decisions. Sections are
+   * claimed at startup, so a second claim shows there.
    */
   own<Name extends keyof Sections>(name: Name): (value: Sections[Name]) => void {
     if (this.#owned.has(name)) {
--- a/src/common/bounded-log.ts
+++ b/src/common/bounded-log.ts
@@ -1,26 +1,26 @@
 import type { Logger } from 'pino';
 
-import { LineBudget, type LineBudgetLimits } from './line-budget.js';
+import { LogRateLimiter, type LogRateLimits } from './line-budget.js';
 import type { Clock } from './time.js';
 
-/** Log lines of one kind, bounded in number. */
+/** Writes log lines of one kind at a limited rate. */
 export class BoundedLog {
   readonly #logger: Logger;
   readonly #clock: Clock;
-  readonly #budget: LineBudget;
+  readonly #limiter: LogRateLimiter;
 
-  constructor(logger: Logger, clock: Clock, limits: LineBudgetLimits) {
+  constructor(logger: Logger, clock: Clock, limits: LogRateLimits) {
     this.#logger = logger;
     this.#clock = clock;
-    this.#budget = new LineBudget(limits);
+    this.#limiter = new LogRateLimiter(limits);
   }
 
-  /** Writes a line, or counts it as left out; the next line that is written says how many were. */
+  /** Logs at level info, or counts the line as suppressed. The next line written reports the count as `leftOut`. */
   note(fields: object, message: string): void {
-    if (!this.#budget.take(this.#clock.monotonic())) {
+    if (!this.#limiter.tryTake(this.#clock.monotonic())) {
       return;
     }
-    const leftOut = this.#budget.takeLeftOut();
+    const leftOut = this.#limiter.takeSuppressedCount();
     this.#logger.info(leftOut === 0 ? fields : { ...fields, leftOut }, message);
   }
 }
--- a/src/common/digest.ts
+++ b/src/common/digest.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 
-/** Hexadecimal SHA-256 of the parts, each terminated by a zero byte. */
+/** SHA-256 of the parts in hexadecimal; each part is terminated by a zero byte. */
 export function digest(parts: readonly (string | Uint8Array)[]): string {
   const hash = createHash('sha256');
   for (const part of parts) {
--- a/src/common/failure.ts
+++ b/src/common/failure.ts
@@ -1,15 +1,14 @@
 import { resultCodes, type ResultCode, type ResultCodeName } from './result-codes/index.js';
 
-/** A failure as it travels through the system: a numbered code and what is particular to this case. */
+/** A failure as it is passed through the system: a result code and the details of this case. */
 export interface Failure {
   readonly code: ResultCodeName;
-  /** What happened here, for a person: names, values, places. */
+  /** Human-readable details of this case, such as names, values and locations. */
   readonly detail: string;
-  /** When to come back, where that is known. */
+  /** Delay after which to retry, if known. */
   readonly retryAfterMilliseconds?: number;
 }
 
-/** Makes a failure. */
 export function createFailure(
   code: ResultCodeName,
   detail: string,
@@ -21,18 +20,18 @@
   return { code, detail, retryAfterMilliseconds };
 }
 
-/** The row of the table for a failure. */
+/** Looks up the result code of a failure. */
 export function findResultCode(failure: Failure): ResultCode {
   return resultCodes[failure.code];
 }
 
-/** One line for logs and terminals. */
+/** Formats a failure as one line for logs and terminals. */
 export function formatFailure(failure: Failure): string {
   const { number, message } = findResultCode(failure);
   return `${failure.code} (${number}): ${message} ${failure.detail}`.trimEnd();
 }
 
-/** Carries a failure through code that throws; only shells throw and catch it. */
+/** Wraps a failure as an exception. Only the I/O shells throw and catch it. */
 export class FailureError extends Error {
   readonly failure: Failure;
 
@@ -43,7 +42,7 @@
   }
 }
 
-/** What an answer between processes says of an outcome; code 0 and no text for one that went well. */
+/** Encodes an outcome for a response between processes; success is code 0 with an empty message. */
 export function encodeOutcome(failure: Failure | undefined): {
   readonly resultCode: number;
   readonly message: string;
--- a/src/common/http-server.ts
+++ b/src/common/http-server.ts
@@ -4,9 +4,9 @@
 import { splitAddress } from './address.js';
 import { createFailure, FailureError } from './failure.js';
 
-/** Opening and closing of servers, for shells. */
+/** Promise-based opening and closing of HTTP servers, for the I/O shells. */
 
-/** Listens at `ip:port`; rejects with a FailureError (`addressInUse`) when another process has the address. */
+/** Listens on `ip:port`. Rejects with a FailureError (`addressInUse`) if the address is already in use. */
 export function openServer(server: Server | Http2Server, address: string): Promise<void> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve, reject) => {
@@ -18,7 +18,7 @@
   });
 }
 
-/** Closes the server and all its connections, whatever is in flight on them. */
+/** Closes the server and all its connections, including those with requests in flight. */
 export function closeServer(server: Server): Promise<void> {
   return new Promise((resolve) => {
     server.close(() => {
--- a/src/common/index.ts
+++ b/src/common/index.ts
@@ -32,6 +32,6 @@
 export { closeServer, openServer } from './http-server.js';
 export { createMetricsPage } from './metrics-page.js';
 export { BoundedLog } from './bounded-log.js';
-export { LineBudget, type LineBudgetLimits } from './line-budget.js';
+export { LogRateLimiter, type LogRateLimits } from './line-budget.js';
 export { digest } from './digest.js';
 export { parseJson } from './json.js';
--- a/src/common/json.ts
+++ b/src/common/json.ts
@@ -1,4 +1,4 @@
-/** The value of a JSON text; undefined for a text that is none, which the schema that reads it then refuses. */
+/** Parses JSON. Returns undefined for invalid JSON, which the schema that checks the value then rejects. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/common/lifecycle.ts
+++ b/src/common/lifecycle.ts
@@ -1,6 +1,6 @@
-/** Opens and closes the parts of a process in order. */
+/** Opens the parts of a process in order and closes them in reverse order. */
 
-/** A part with something to release. */
+/** A part of a process that has to be started and released, such as a server or a timer. */
 export interface ManagedPart {
   readonly name: string;
   /** Starts the part; rejects when it cannot start. */
@@ -9,14 +9,14 @@
   readonly close: () => Promise<void> | void;
 }
 
-/** Told about each step, for logs. */
+/** Receives each lifecycle step, for logging. */
 export interface LifecycleObserver {
   readonly opened: (name: string) => void;
   readonly closed: (name: string) => void;
   readonly failed: (name: string, error: unknown) => void;
 }
 
-/** Owns the clean-up of a process: what was opened is closed in reverse order, once, whatever fails. */
+/** Manages the cleanup of a process: closes every opened part once, in reverse order, even if some of them fail. */
 export class LifecycleManager {
   readonly #parts: ManagedPart[] = [];
   readonly #opened: ManagedPart[] = [];
@@ -27,12 +27,12 @@
     this.#observer = observer;
   }
 
-  /** Adds a part; parts open in the order in which they were added. */
+  /** Adds a part; parts are opened in the order in which they were added. */
   add(part: ManagedPart): void {
     this.#parts.push(part);
   }
 
-  /** Opens all parts; when one fails, closes those already open and rejects with its error. */
+  /** Opens all parts. If one fails, closes those already open and rejects with its error. */
   async open(): Promise<void> {
     for (const part of this.#parts) {
       try {
--- a/src/common/line-budget.ts
+++ b/src/common/line-budget.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from './time.js';
 
-/** Bounds how many log lines of one kind a process writes; free of I/O. */
+/** Limits how many log lines of one kind a process writes. Does no I/O. */
 
-/** Lines that may come at once, and lines a second in the long run. */
-export interface LineBudgetLimits {
+/** Maximum burst of lines, and the sustained rate in lines per second. */
+export interface LogRateLimits {
   readonly burst: number;
   readonly perSecond: number;
 }
@@ -11,39 +11,39 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * A token bucket for lines.
- * When thousands of requests fail in a second, a line for each would take the processor time that the others need, and the
- * lines that tell why would be lost among them. What is left out is counted, so that a reader knows it.
+ * A token bucket for log lines.
+ * When thousands of requests fail per second, logging each one would take CPU time from the remaining requests and bury the
+ * lines that explain the failure. Suppressed lines are counted so that the log can report them.
  */
-export class LineBudget {
-  readonly #limits: LineBudgetLimits;
+export class LogRateLimiter {
+  readonly #limits: LogRateLimits;
   #tokens: number;
-  #filledAt: Milliseconds | undefined;
-  #leftOut = 0;
+  #refilledAt: Milliseconds | undefined;
+  #suppressed = 0;
 
-  constructor(limits: LineBudgetLimits) {
+  constructor(limits: LogRateLimits) {
     this.#limits = limits;
     this.#tokens = limits.burst;
   }
 
-  /** Whether a line may be written now. */
-  take(now: Milliseconds): boolean {
+  /** Takes a token if one is available and returns whether the line may be written; otherwise counts it as suppressed. */
+  tryTake(now: Milliseconds): boolean {
     const { burst, perSecond } = this.#limits;
-    const elapsed = now - (this.#filledAt ?? now);
-    this.#filledAt = now;
+    const elapsed = now - (this.#refilledAt ?? now);
+    this.#refilledAt = now;
     this.#tokens = Math.min(burst, this.#tokens + (elapsed * perSecond) / millisecondsPerSecond);
     if (this.#tokens < 1) {
-      this.#leftOut += 1;
+      this.#suppressed += 1;
       return false;
     }
     this.#tokens -= 1;
     return true;
   }
 
-  /** Lines left out since this was last asked. */
-  takeLeftOut(): number {
-    const count = this.#leftOut;
-    this.#leftOut = 0;
+  /** Returns the number of lines suppressed since the last call, and resets it. */
+  takeSuppressedCount(): number {
+    const count = this.#suppressed;
+    this.#suppressed = 0;
     return count;
   }
 }
--- a/src/common/logging.ts
+++ b/src/common/logging.ts
@@ -1,9 +1,9 @@
 import { pino, type Logger } from 'pino';
 
-/** Levels that settings may name. */
+/** Log levels allowed in settings. */
 export type LogLevel = 'trace' | 'debug' | 'info' | 'warn' | 'error' | 'fatal' | 'silent';
 
-/** A logger that writes one JSON object a line to standard output, with the name of the process in each. */
+/** Creates a logger that writes JSON lines to standard output, each with the name of the process. */
 export function createLogger(name: string, level: LogLevel): Logger {
   return pino({ name, level, timestamp: pino.stdTimeFunctions.isoTime });
 }
--- a/src/common/metrics-page.ts
+++ b/src/common/metrics-page.ts
@@ -5,7 +5,7 @@
 import { closeServer, openServer } from './http-server.js';
 import type { ManagedPart } from './lifecycle.js';
 
-/** Serves the metrics of a process as text, in the format that Prometheus reads. */
+/** Serves the metrics of a process over HTTP in the Prometheus text format. Does nothing without an address. */
 export function createMetricsPage(address: string | undefined, registry: Registry): ManagedPart {
   const name = 'metrics page';
   if (address === undefined) {
--- a/src/common/metrics.ts
+++ b/src/common/metrics.ts
@@ -2,9 +2,9 @@
 
 import type { Milliseconds } from './time.js';
 
-/** Metrics by StatsD; docs/METRICS.md lists the names. */
+/** StatsD metrics; docs/METRICS.md lists their names. */
 
-/** Where metrics go; the tags are few and bounded. */
+/** Sink for metrics. Tags must be few and have a bounded set of values. */
 export interface Metrics {
   readonly increment: (name: string, tags?: Readonly<Record<string, string>>) => void;
   readonly timing: (
@@ -16,7 +16,7 @@
   readonly close: () => Promise<void>;
 }
 
-/** Where the StatsD daemon listens. */
+/** Address of the StatsD daemon. */
 export interface MetricsTarget {
   readonly host: string;
   readonly port: number;
@@ -24,8 +24,8 @@
 
 const metricPrefix = 'pistachiospoke.';
 
-/** Metrics that go nowhere. */
-const noMetrics: Metrics = {
+/** Discards all metrics. */
+const noopMetrics: Metrics = {
   increment: () => undefined,
   timing: () => undefined,
   gauge: () => undefined,
@@ -33,14 +33,15 @@
 };
 
 /**
- * Sends to the target by UDP, or nowhere when settings name none.
- * Nowhere is no client at all: one in its mock mode keeps every metric in memory, and the process grows until it is killed.
+ * Sends metrics to the target over UDP, or discards them if the settings name no target.
+ * Without a target no client is created: the client's mock mode keeps every metric in memory, so the process would grow until
+ * it is killed.
  */
 export function createMetrics(
   target: MetricsTarget | undefined,
   tags: Readonly<Record<string, string>>,
 ): Metrics {
-  return target === undefined ? noMetrics : createClient(target, tags);
+  return target === undefined ? noopMetrics : createClient(target, tags);
 }
 
 function createClient(
@@ -52,18 +53,18 @@
     globalTags: { ...tags },
     host,
     port,
-    // A daemon that is away must not stop a process: an unhandled socket error would.
+    // An unhandled socket error would end the process when the daemon is unavailable.
     errorHandler: () => undefined,
   });
   return {
-    increment: (name, own) => {
-      client.increment(name, { ...own });
+    increment: (name, metricTags) => {
+      client.increment(name, { ...metricTags });
     },
-    timing: (name, duration, own) => {
-      client.timing(name, duration, { ...own });
+    timing: (name, duration, metricTags) => {
+      client.timing(name, duration, { ...metricTags });
     },
-    gauge: (name, value, own) => {
-      client.gauge(name, value, { ...own });
+    gauge: (name, value, metricTags) => {
+      client.gauge(name, value, { ...metricTags });
     },
     close: () =>
       new Promise((resolve) => {
--- a/src/common/process-runner.ts
+++ b/src/common/process-runner.ts
@@ -3,12 +3,12 @@
 import { FailureError } from './failure.js';
 import { LifecycleManager, type ManagedPart } from './lifecycle.js';
 
-/** Runs the parts of a process until a signal asks it to stop. */
+/** Runs the parts of a process until it receives a termination signal. */
 
 /** Exit code of a process that could not start. */
 const startFailedExitCode = 1;
 
-/** Opens the parts; SIGTERM and SIGINT close them in reverse order, which is a graceful shutdown. */
+/** Opens the parts in order. SIGTERM and SIGINT shut down gracefully by closing them in reverse order. */
 export async function runProcess(parts: readonly ManagedPart[], logger: Logger): Promise<void> {
   const lifecycle = new LifecycleManager({
     opened: (part) => {
@@ -34,7 +34,7 @@
     });
   }
   if (process.listenerCount('SIGHUP') === 0) {
-    // Unhandled, the signal would end the process with everything that it has under way.
+    // The default action of SIGHUP would terminate the process and lose its work in progress.
     process.on('SIGHUP', () => {
       logger.info('SIGHUP: changed settings take effect at the next start');
     });
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -4,15 +4,15 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Random numbers for decisions: seeded, so that a test repeats the same choices. */
+/** Random numbers for decision code. Seeded, so that tests can reproduce the same choices. */
 export interface RandomSource {
-  /** A whole number from 0 to `bound` - 1; `bound` is at least 1. */
+  /** An integer from 0 to `bound` - 1; `bound` must be at least 1. */
   readonly integerBelow: (bound: number) => number;
-  /** A number from 0 (included) to 1 (excluded). */
+  /** A number from 0 (inclusive) to 1 (exclusive). */
   readonly fraction: () => number;
 }
 
-/** A repeatable source from a 32-bit seed. */
+/** Creates a deterministic source from a 32-bit seed. */
 export function createRandomSource(seed: number): RandomSource {
   const generator = xoroshiro128plus(seed);
   return {
@@ -21,12 +21,12 @@
   };
 }
 
-/** A source seeded by the system's entropy, for processes. */
+/** Creates a source seeded from the operating system's entropy, for use in processes. */
 export function createEntropySource(): RandomSource {
   return createRandomSource(randomBytes(4).readInt32LE(0));
 }
 
-/** A new identifier that no other process has given out. */
+/** Creates an identifier that is unique across processes (a random UUID). */
 export function createIdentifier(): string {
   return randomUUID();
 }
--- a/src/common/result-codes/attempt-codes.ts
+++ b/src/common/result-codes/attempt-codes.ts
@@ -1,8 +1,8 @@
-import { createRow } from './row.js';
+import { createResultCode } from './row.js';
 
-/** 2xxx: result codes of attempts of a request at an upstream. */
+/** 2xxx: result codes of attempts to run a request on an upstream. */
 export const attemptCodes = {
-  overloaded: createRow(
+  overloaded: createResultCode(
     2001,
     503,
     'notRun',
@@ -10,7 +10,7 @@
     'Every upstream that could take the request is full.',
     'Wait for the time in Retry-After.',
   ),
-  noServingGroup: createRow(
+  noServingGroup: createResultCode(
     2002,
     503,
     'notRun',
@@ -18,7 +18,7 @@
     'No group that carries this is serving now.',
     'Wait for the time in Retry-After.',
   ),
-  deadlineBeforeStart: createRow(
+  deadlineBeforeStart: createResultCode(
     2003,
     504,
     'notRun',
@@ -26,7 +26,7 @@
     'The time allowed passed before the request could start.',
     'Send it again, or allow more time.',
   ),
-  retryBudgetSpent: createRow(
+  retryBudgetSpent: createResultCode(
     2004,
     503,
     'notRun',
@@ -34,7 +34,7 @@
     'The gateway has spent its retry budget.',
     'Wait for the time in Retry-After.',
   ),
-  stopping: createRow(
+  stopping: createResultCode(
     2005,
     503,
     'notRun',
@@ -42,7 +42,7 @@
     'This process is shutting down.',
     'Send it again; another process takes it.',
   ),
-  tombstoned: createRow(
+  tombstoned: createResultCode(
     2006,
     503,
     'notRun',
@@ -50,7 +50,7 @@
     'The attempt was declared not run before it arrived.',
     'Send it again.',
   ),
-  staleIncarnation: createRow(
+  staleIncarnation: createResultCode(
     2007,
     503,
     'notRun',
@@ -58,7 +58,7 @@
     'The attempt was meant for an earlier incarnation of this sidecar.',
     'The gateway takes the new one; send it again.',
   ),
-  staleFencingNumber: createRow(
+  staleFencingNumber: createResultCode(
     2008,
     503,
     'notRun',
@@ -66,7 +66,7 @@
     'The attempt carries another fencing number than the group.',
     'The gateway learns the new one; send it again.',
   ),
-  staleConfiguration: createRow(
+  staleConfiguration: createResultCode(
     2009,
     503,
     'notRun',
@@ -74,7 +74,7 @@
     'The attempt was made under an older configuration.',
     'The gateway fetches the newer one; send it again.',
   ),
-  claimUnavailable: createRow(
+  claimUnavailable: createResultCode(
     2010,
     503,
     'notRun',
@@ -82,7 +82,7 @@
     'The Idempotency-Key cannot be claimed now: control has no quorum.',
     'Wait for the time in Retry-After.',
   ),
-  upstreamUnreachable: createRow(
+  upstreamUnreachable: createResultCode(
     2011,
     503,
     'notRun',
@@ -90,7 +90,7 @@
     'The upstream could not be reached; nothing was sent.',
     'Wait for the time in Retry-After.',
   ),
-  duplicateAttempt: createRow(
+  duplicateAttempt: createResultCode(
     2012,
     503,
     'notRun',
@@ -98,7 +98,7 @@
     'This attempt is already known here; the second copy was not run.',
     'Nothing to do; the first goes on.',
   ),
-  attemptTooOld: createRow(
+  attemptTooOld: createResultCode(
     2013,
     503,
     'notRun',
@@ -106,7 +106,7 @@
     'The attempt is older than what the sidecar remembers, or a wall clock is wrong.',
     'Send it again; if it stays, compare the clocks of the gateway and the host.',
   ),
-  routingUnconfirmed: createRow(
+  routingUnconfirmed: createResultCode(
     2014,
     503,
     'notRun',
@@ -114,7 +114,7 @@
     'The gateway has no routing document that control vouches for now.',
     'Wait for the time in Retry-After; another gateway may have one.',
   ),
-  answerLost: createRow(
+  answerLost: createResultCode(
     2101,
     502,
     'unknown',
@@ -122,7 +122,7 @@
     'The upstream stopped answering; the request may have run.',
     'Look for its effect before sending it again.',
   ),
-  answerBroken: createRow(
+  answerBroken: createResultCode(
     2102,
     502,
     'unknown',
@@ -130,7 +130,7 @@
     'The answer broke off before its end.',
     'Discard what came; an idempotent request may be sent again.',
   ),
-  deadlineAfterStart: createRow(
+  deadlineAfterStart: createResultCode(
     2103,
     504,
     'unknown',
@@ -138,7 +138,7 @@
     'The time allowed passed while the request ran.',
     'Look for its effect before sending it again.',
   ),
-  groupBroken: createRow(
+  groupBroken: createResultCode(
     2104,
     502,
     'unknown',
@@ -146,8 +146,15 @@
     'The group lost a member while it answered.',
     'Discard what came; an idempotent request may be sent again.',
   ),
-  cancelled: createRow(2105, 499, 'unknown', false, 'The caller went away.', 'Nothing to do.'),
-  answerTooLarge: createRow(
+  cancelled: createResultCode(
+    2105,
+    499,
+    'unknown',
+    false,
+    'The caller went away.',
+    'Nothing to do.',
+  ),
+  answerTooLarge: createResultCode(
     2106,
     502,
     'unknown',
@@ -155,7 +162,7 @@
     'The answer is larger than the gateway holds.',
     'Ask for a streamed answer.',
   ),
-  upstreamFailed: createRow(
+  upstreamFailed: createResultCode(
     2107,
     502,
     'unknown',
@@ -163,7 +170,7 @@
     'The upstream failed while it ran the request.',
     'Look for its effect before sending it again.',
   ),
-  requestQuarantined: createRow(
+  requestQuarantined: createResultCode(
     2108,
     502,
     'unknown',
--- a/src/common/result-codes/change-codes.ts
+++ b/src/common/result-codes/change-codes.ts
@@ -1,8 +1,8 @@
-import { createRow } from './row.js';
+import { createResultCode } from './row.js';
 
-/** 4xxx: result codes of changes by operators. */
+/** 4xxx: result codes of changes made by operators. */
 export const changeCodes = {
-  revisionConflict: createRow(
+  revisionConflict: createResultCode(
     4001,
     409,
     'notApplicable',
@@ -10,7 +10,7 @@
     'Another change was accepted since the revision this one was made from.',
     'Look at the winner, make the change again from its revision.',
   ),
-  invalidConfiguration: createRow(
+  invalidConfiguration: createResultCode(
     4002,
     400,
     'notApplicable',
@@ -18,7 +18,7 @@
     'The configuration does not pass its checks.',
     'Correct what the message names.',
   ),
-  noQuorum: createRow(
+  noQuorum: createResultCode(
     4003,
     503,
     'notApplicable',
@@ -26,7 +26,7 @@
     'Control has no leader with a quorum now; the change was not accepted.',
     'Resend it with the same change id.',
   ),
-  changeUncertain: createRow(
+  changeUncertain: createResultCode(
     4004,
     503,
     'notApplicable',
@@ -34,7 +34,7 @@
     'The change may or may not have been accepted.',
     'Resend it with the same change id to learn which.',
   ),
-  unknownHost: createRow(
+  unknownHost: createResultCode(
     4005,
     404,
     'notApplicable',
@@ -42,7 +42,7 @@
     'No host of this name has announced itself.',
     'List the hosts.',
   ),
-  invalidCommand: createRow(
+  invalidCommand: createResultCode(
     4006,
     400,
     'notApplicable',
@@ -50,7 +50,7 @@
     'Control does not know this command.',
     'Use a command line of the same version.',
   ),
-  notFresh: createRow(
+  notFresh: createResultCode(
     4007,
     503,
     'notApplicable',
@@ -58,7 +58,7 @@
     'This control host cannot confirm that its state is the newest.',
     'Ask another control host.',
   ),
-  changeIdReused: createRow(
+  changeIdReused: createResultCode(
     4008,
     409,
     'notApplicable',
@@ -66,7 +66,7 @@
     'The change id was used before with another change.',
     'Use a new change id for a new change.',
   ),
-  stalePlacement: createRow(
+  stalePlacement: createResultCode(
     4009,
     409,
     'notApplicable',
@@ -74,7 +74,7 @@
     'Groups changed since this placement was decided.',
     'Nothing to do; control decides again.',
   ),
-  hostInTwoGroups: createRow(
+  hostInTwoGroups: createResultCode(
     4010,
     409,
     'notApplicable',
@@ -82,7 +82,7 @@
     'The placement would put one host into two groups.',
     'Report it: placement must not decide this.',
   ),
-  invalidRouting: createRow(
+  invalidRouting: createResultCode(
     4011,
     400,
     'notApplicable',
@@ -90,7 +90,7 @@
     'The routing document does not pass its checks.',
     'Correct what the message names.',
   ),
-  retiredInstance: createRow(
+  retiredInstance: createResultCode(
     4012,
     410,
     'notApplicable',
@@ -98,7 +98,7 @@
     'This instance has left, or another one took its address.',
     'Nothing to do: the announcement is late.',
   ),
-  unusableAnnouncement: createRow(
+  unusableAnnouncement: createResultCode(
     4013,
     400,
     'notApplicable',
--- a/src/common/result-codes/group-codes.ts
+++ b/src/common/result-codes/group-codes.ts
@@ -1,8 +1,8 @@
-import { createRow } from './row.js';
+import { createResultCode } from './row.js';
 
 /** 3xxx: result codes of groups, leases and orders. */
 export const groupCodes = {
-  notWhole: createRow(
+  notWhole: createResultCode(
     3001,
     503,
     'notRun',
@@ -10,7 +10,7 @@
     'The group does not hold the lease of every member.',
     'Wait for the time in Retry-After.',
   ),
-  draining: createRow(
+  draining: createResultCode(
     3002,
     503,
     'notRun',
@@ -18,7 +18,7 @@
     'The group is draining and takes no new work.',
     'The gateway takes another group; send it again.',
   ),
-  unknownGroup: createRow(
+  unknownGroup: createResultCode(
     3003,
     503,
     'notRun',
@@ -26,7 +26,7 @@
     'This sidecar leads no such group.',
     'The gateway learns the present groups; send it again.',
   ),
-  leaseHeldElsewhere: createRow(
+  leaseHeldElsewhere: createResultCode(
     3004,
     409,
     'notApplicable',
@@ -34,7 +34,7 @@
     'The host has given a lease to another group that has not run out.',
     'Wait until it runs out.',
   ),
-  engineUnhealthy: createRow(
+  engineUnhealthy: createResultCode(
     3005,
     503,
     'notApplicable',
@@ -42,7 +42,7 @@
     "The host's own engine part is not healthy.",
     'See the log of the engine.',
   ),
-  restartWait: createRow(
+  restartWait: createResultCode(
     3006,
     503,
     'notApplicable',
@@ -50,7 +50,7 @@
     'The sidecar restarted less than one lease ago.',
     'Wait for one lease.',
   ),
-  wrongIncarnation: createRow(
+  wrongIncarnation: createResultCode(
     3007,
     409,
     'notApplicable',
@@ -58,7 +58,7 @@
     'The question was meant for an earlier incarnation.',
     'Ask again with the present one.',
   ),
-  orderFenced: createRow(
+  orderFenced: createResultCode(
     3008,
     409,
     'notApplicable',
@@ -66,7 +66,7 @@
     'The order carries an old fencing number and was refused.',
     'Nothing to do; a newer order stands.',
   ),
-  artifactNotLoaded: createRow(
+  artifactNotLoaded: createResultCode(
     3009,
     503,
     'notRun',
--- a/src/common/result-codes/index.ts
+++ b/src/common/result-codes/index.ts
@@ -7,13 +7,13 @@
 import { storageCodes } from './storage-codes.js';
 
 /**
- * The one table of numbered result codes.
- * Callers, operators and processes of the system exchange the number; docs/RESULT-CODES.md shows the table.
+ * The table of all result codes.
+ * Callers, operators and processes of the system exchange the numbers; docs/RESULT-CODES.md documents the table.
  */
 
 export type { ExecutionOutcome, ResultCode } from './row.js';
 
-/** All codes by name. */
+/** All result codes by name. */
 export const resultCodes = {
   ...requestCodes,
   ...attemptCodes,
@@ -23,19 +23,19 @@
   ...processCodes,
 } as const satisfies Readonly<Record<string, ResultCode>>;
 
-/** Name of a row of the table. */
+/** Name of a result code. */
 export type ResultCodeName = keyof typeof resultCodes;
 
 const namesByNumber = new Map<number, ResultCodeName>(
   resultCodeNames().map((name) => [resultCodes[name].number, name]),
 );
 
-/** All names, in the order of the table. */
+/** All names of result codes, in table order. */
 export function resultCodeNames(): readonly ResultCodeName[] {
   return Object.keys(resultCodes) as ResultCodeName[];
 }
 
-/** The name for a number received from another process; `internal` for a number this version does not know. */
+/** Looks up the name for a number received from another process. Returns `internal` for a number that this version does not know. */
 export function findResultCodeName(number: number): ResultCodeName {
   return namesByNumber.get(number) ?? 'internal';
 }
--- a/src/common/result-codes/process-codes.ts
+++ b/src/common/result-codes/process-codes.ts
@@ -1,8 +1,8 @@
-import { createRow } from './row.js';
+import { createResultCode } from './row.js';
 
 /** 6xxx: result codes of processes of the system. */
 export const processCodes = {
-  invalidSettings: createRow(
+  invalidSettings: createResultCode(
     6001,
     500,
     'notApplicable',
@@ -10,7 +10,7 @@
     'The settings do not pass their checks.',
     'Correct the line that the message names.',
   ),
-  addressInUse: createRow(
+  addressInUse: createResultCode(
     6002,
     500,
     'notApplicable',
@@ -18,7 +18,7 @@
     'The address to listen at is in use.',
     'Stop the other process or change the settings.',
   ),
-  internal: createRow(
+  internal: createResultCode(
     6003,
     500,
     'unknown',
--- a/src/common/result-codes/request-codes.ts
+++ b/src/common/result-codes/request-codes.ts
@@ -1,9 +1,9 @@
-import { createRow } from './row.js';
+import { createResultCode } from './row.js';
 
-/** 0 and 1xxx: result codes of the caller's request, and the whole answer. */
+/** 0 and 1xxx: result codes of the caller's request. 0 means that it was answered in full. */
 export const requestCodes = {
-  ok: createRow(0, 200, 'ran', false, 'The answer is whole.', 'Nothing to do.'),
-  malformedBody: createRow(
+  ok: createResultCode(0, 200, 'ran', false, 'The answer is whole.', 'Nothing to do.'),
+  malformedBody: createResultCode(
     1001,
     400,
     'notRun',
@@ -11,7 +11,7 @@
     'The body is not valid JSON.',
     'Correct the body.',
   ),
-  invalidRequest: createRow(
+  invalidRequest: createResultCode(
     1002,
     400,
     'notRun',
@@ -19,7 +19,7 @@
     'The request misses a field or has one of a wrong type.',
     'Correct the field that the message names.',
   ),
-  unknownAccount: createRow(
+  unknownAccount: createResultCode(
     1003,
     401,
     'notRun',
@@ -27,7 +27,7 @@
     'The bearer key belongs to no client account.',
     'Send a valid key in the Authorization header.',
   ),
-  notReachable: createRow(
+  notReachable: createResultCode(
     1004,
     403,
     'notRun',
@@ -35,7 +35,7 @@
     'No group that this client account may reach carries what was asked for.',
     'Ask the operators for access.',
   ),
-  unknownModel: createRow(
+  unknownModel: createResultCode(
     1005,
     404,
     'notRun',
@@ -43,7 +43,7 @@
     'No group carries this model.',
     'List the models with GET /v1/models.',
   ),
-  unknownPath: createRow(
+  unknownPath: createResultCode(
     1006,
     404,
     'notRun',
@@ -51,7 +51,7 @@
     'There is nothing at this path.',
     'See docs/CALLERS.md for the paths.',
   ),
-  unsupportedMethod: createRow(
+  unsupportedMethod: createResultCode(
     1007,
     405,
     'notRun',
@@ -59,7 +59,7 @@
     'This path does not take this method.',
     'Use the method in the Allow header.',
   ),
-  bodyTooLarge: createRow(
+  bodyTooLarge: createResultCode(
     1008,
     413,
     'notRun',
@@ -67,7 +67,7 @@
     'The body is larger than the gateway accepts.',
     'Send a smaller body.',
   ),
-  accountLimit: createRow(
+  accountLimit: createResultCode(
     1009,
     429,
     'notRun',
@@ -75,7 +75,7 @@
     'The client account is at its limit.',
     'Wait for the time in Retry-After.',
   ),
-  idempotencyConflict: createRow(
+  idempotencyConflict: createResultCode(
     1010,
     422,
     'notRun',
@@ -83,7 +83,7 @@
     'The Idempotency-Key was used before with another request.',
     'Use a new key for a new request.',
   ),
-  duplicateInProgress: createRow(
+  duplicateInProgress: createResultCode(
     1011,
     409,
     'unknown',
@@ -91,7 +91,7 @@
     'A request with this Idempotency-Key is running or its outcome is not known.',
     'Do not send it again; look for the effect of the first.',
   ),
-  duplicateFinished: createRow(
+  duplicateFinished: createResultCode(
     1012,
     409,
     'ran',
@@ -99,7 +99,7 @@
     'A request with this Idempotency-Key has already run.',
     'Use the answer of the first.',
   ),
-  unknownService: createRow(
+  unknownService: createResultCode(
     1013,
     404,
     'notRun',
@@ -107,7 +107,7 @@
     'No upstream offers this plain service.',
     'Check the name of the service.',
   ),
-  unknownRoute: createRow(
+  unknownRoute: createResultCode(
     1014,
     404,
     'notRun',
--- a/src/common/result-codes/row.ts
+++ b/src/common/result-codes/row.ts
@@ -1,27 +1,26 @@
-/** The rows of the table of result codes. */
+/** Type of the entries in the result code table. */
 
 /**
- * What a code says about the request it answers.
- * `notRun`: it did not run, sending it again is safe. `unknown`: it may have run. `ran`: it ran and was answered.
+ * What a code says about the execution of the caller's request.
+ * `notRun`: it did not run, and it is safe to retry. `unknown`: it may have run. `ran`: it ran and was answered.
  * `notApplicable`: the code is not about a caller's request.
  */
 export type ExecutionOutcome = 'notRun' | 'unknown' | 'ran' | 'notApplicable';
 
-/** One row of the table. */
+/** One entry of the result code table. */
 export interface ResultCode {
   readonly number: number;
   readonly httpStatus: number;
   readonly outcome: ExecutionOutcome;
   /** Whether the same request may succeed later. */
   readonly retryable: boolean;
-  /** What happened, for a person. */
+  /** Human-readable description of what happened. */
   readonly message: string;
-  /** What to do about it. */
+  /** Human-readable advice on what to do about it. */
   readonly advice: string;
 }
 
-/** Makes a row. */
-export function createRow(
+export function createResultCode(
   number: number,
   httpStatus: number,
   outcome: ExecutionOutcome,
--- a/src/common/result-codes/storage-codes.ts
+++ b/src/common/result-codes/storage-codes.ts
@@ -1,8 +1,8 @@
-import { createRow } from './row.js';
+import { createResultCode } from './row.js';
 
 /** 5xxx: result codes of the data folder of a control host. */
 export const storageCodes = {
-  damagedLog: createRow(
+  damagedLog: createResultCode(
     5001,
     500,
     'notApplicable',
@@ -10,7 +10,7 @@
     'The log in the data folder is damaged before its end.',
     'Replace this control host: see docs/OPERATORS.md.',
   ),
-  foreignDataFolder: createRow(
+  foreignDataFolder: createResultCode(
     5002,
     500,
     'notApplicable',
@@ -18,7 +18,7 @@
     'The data folder belongs to another control host.',
     'Correct the path in the settings.',
   ),
-  diskFailed: createRow(
+  diskFailed: createResultCode(
     5003,
     500,
     'notApplicable',
--- a/src/common/time.ts
+++ b/src/common/time.ts
@@ -1,14 +1,14 @@
-/** Time as the decisions see it: passed in, never read inside them. */
+/** Types for time. Decision code gets the time passed in and never reads a clock itself. */
 
 /** A duration or a reading of a monotonic clock, in milliseconds. */
 export type Milliseconds = number;
 
-/** Wall-clock time in milliseconds since 1970-01-01 UTC; only for records and reports, never for leases. */
+/** Wall-clock time in milliseconds since 1970-01-01 UTC; only for records and reports, never for leases, because it can be set. */
 export type WallTime = number;
 
-/** Source of time for shells; decisions get readings of it in their events. */
+/** Time source for the I/O shells. Controllers receive its readings in their events. */
 export interface Clock {
-  /** Monotonic milliseconds since an arbitrary start; does not jump when the wall clock is set. */
+  /** Monotonic milliseconds since an arbitrary origin; unaffected by changes to the wall clock. */
   readonly monotonic: () => Milliseconds;
   /** Wall-clock milliseconds. */
   readonly wall: () => WallTime;
--- a/src/configuration/cross-checks.ts
+++ b/src/configuration/cross-checks.ts
@@ -1,25 +1,25 @@
 import type { Configuration, Selector } from '../model/index.js';
 import type { SchemaFinding } from '../settings/index.js';
 
-/** Checks that look at several parts of a configuration at once. */
+/** Checks that involve several parts of a configuration, such as references and uniqueness. */
 
-/** A finding that stops a configuration, or one that only warns. */
-export interface CrossFinding extends SchemaFinding {
+/** A finding that makes a configuration invalid (error) or only gives a warning. */
+export interface CrossCheckFinding extends SchemaFinding {
   readonly severity: 'error' | 'warning';
 }
 
-/** All findings, errors before warnings. */
-export function crossCheck(configuration: Configuration): readonly CrossFinding[] {
+/** Returns all findings, errors before warnings. */
+export function crossCheck(configuration: Configuration): readonly CrossCheckFinding[] {
   return [
-    ...findRepeatedNames(configuration),
-    ...findRepeatedKeys(configuration),
-    ...findUnknownServices(configuration),
-    ...findUnknownTargets(configuration),
-    ...findOverlaps(configuration),
+    ...findDuplicateNames(configuration),
+    ...findDuplicateKeys(configuration),
+    ...findUndeclaredServices(configuration),
+    ...findUndeclaredTargets(configuration),
+    ...findOverlappingGroups(configuration),
   ];
 }
 
-function findRepeatedNames(configuration: Configuration): readonly CrossFinding[] {
+function findDuplicateNames(configuration: Configuration): readonly CrossCheckFinding[] {
   const declared = [
     ...configuration.groups.map((part, index) => ({ name: part.name, path: ['groups', index] })),
     ...configuration.services.map((part, index) => ({
@@ -31,24 +31,24 @@
     name: part.name,
     path: ['accounts', index],
   }));
-  return [...findRepeats(declared, 'name'), ...findRepeats(accounts, 'name')];
+  return [...findDuplicates(declared, 'name'), ...findDuplicates(accounts, 'name')];
 }
 
-/** One key for two accounts: callers of the second would be taken for the first, and pay from its limits. */
-function findRepeatedKeys(configuration: Configuration): readonly CrossFinding[] {
+/** Finds keys shared by two accounts: callers of the second account would be identified as the first and use up its limits. */
+function findDuplicateKeys(configuration: Configuration): readonly CrossCheckFinding[] {
   const keys = configuration.accounts.map((account, index) => ({
     name: account.keySha256,
     path: ['accounts', index],
   }));
-  return findRepeats(keys, 'keySha256');
+  return findDuplicates(keys, 'keySha256');
 }
 
-interface Named {
+interface NamedPart {
   readonly name: string;
   readonly path: readonly (string | number)[];
 }
 
-function findRepeats(parts: readonly Named[], field: string): readonly CrossFinding[] {
+function findDuplicates(parts: readonly NamedPart[], field: string): readonly CrossCheckFinding[] {
   return parts.flatMap((part, index) => {
     const first = parts.findIndex((other) => other.name === part.name);
     if (first === index) {
@@ -59,9 +59,9 @@
   });
 }
 
-function findUnknownServices(configuration: Configuration): readonly CrossFinding[] {
+function findUndeclaredServices(configuration: Configuration): readonly CrossCheckFinding[] {
   const known = configuration.services.map((service) => service.name);
-  const reaches = (['groups', 'services'] as const).flatMap((section) =>
+  const policyReferences = (['groups', 'services'] as const).flatMap((section) =>
     configuration[section].flatMap((part, index) =>
       part.reachableBy.services.map((name, position) => ({
         name,
@@ -74,12 +74,16 @@
       ? []
       : [{ name: account.service, path: ['accounts', index, 'service'] }],
   );
-  return [...reaches, ...accounts]
+  return [...policyReferences, ...accounts]
     .filter(({ name }) => !known.includes(name))
-    .map(({ name, path }) => ({ severity: 'error', path, message: describeUnknown(name, known) }));
+    .map(({ name, path }) => ({
+      severity: 'error',
+      path,
+      message: describeUndeclaredName(name, known),
+    }));
 }
 
-function findUnknownTargets(configuration: Configuration): readonly CrossFinding[] {
+function findUndeclaredTargets(configuration: Configuration): readonly CrossCheckFinding[] {
   const known = [...configuration.groups, ...configuration.services].map((part) => part.name);
   return configuration.objectives.flatMap(({ target }, index) =>
     known.includes(target)
@@ -88,18 +92,18 @@
           {
             severity: 'error' as const,
             path: ['objectives', index, 'target'],
-            message: describeUnknown(target, known),
+            message: describeUndeclaredName(target, known),
           },
         ],
   );
 }
 
-function describeUnknown(name: string, known: readonly string[]): string {
+function describeUndeclaredName(name: string, known: readonly string[]): string {
   return `"${name}" is not declared, expected one of: ${known.join(', ') || '(none is)'}`;
 }
 
-/** Two group declarations that may claim one host: placement then decides, which may not be what was meant. */
-function findOverlaps(configuration: Configuration): readonly CrossFinding[] {
+/** Finds group declarations that may match the same host: placement then decides between them, which may not be intended. */
+function findOverlappingGroups(configuration: Configuration): readonly CrossCheckFinding[] {
   const { groups } = configuration;
   return groups.flatMap((group, index) => {
     const other = groups
@@ -113,7 +117,7 @@
   });
 }
 
-/** Whether labels exist that match both selectors. */
+/** Whether there can be labels that match both selectors. */
 function isOverlapping(left: Selector, right: Selector): boolean {
   return Object.entries(left).every(([key, values]) => {
     const others = right[key];
--- a/src/configuration/diff.ts
+++ b/src/configuration/diff.ts
@@ -1,18 +1,18 @@
 import type { Configuration } from '../model/index.js';
 
-/** Says in one line each what differs between two configurations, for operators who race each other. */
+/** Describes the differences between two configurations, for operators who make conflicting changes at the same time. */
 
-/** Named parts of a configuration, compared by name. */
+/** Sections of a configuration whose entries are matched by name. */
 type Section = 'groups' | 'services' | 'accounts' | 'objectives';
 
-const sectionWords: Readonly<Record<Section, string>> = {
+const sectionLabels: Readonly<Record<Section, string>> = {
   groups: 'group',
   services: 'service',
   accounts: 'client account',
   objectives: 'objective',
 };
 
-/** What turns `before` into `after`, one line for each part or value that differs; empty when nothing does. */
+/** Lists the changes from `before` to `after`, one line for each added, removed or changed value. Empty if they are equal. */
 export function describeDifferences(
   before: Configuration,
   after: Configuration,
@@ -26,7 +26,7 @@
   ];
 }
 
-/** The lines joined to one, cut off after `limit` of them. */
+/** Joins the first `limit` lines into one and states how many more there are. */
 export function summarizeDifferences(lines: readonly string[], limit = 3): string {
   if (lines.length === 0) {
     return 'nothing';
@@ -44,7 +44,7 @@
   const right = collectByName(section, after);
   const names = [...new Set([...left.keys(), ...right.keys()])];
   return names.flatMap((name) => {
-    const title = `${sectionWords[section]} ${name}`;
+    const title = `${sectionLabels[section]} ${name}`;
     if (!left.has(name)) {
       return [`${title} added`];
     }
@@ -63,8 +63,8 @@
 }
 
 function describeValues(title: string, before: unknown, after: unknown): readonly string[] {
-  const left = flatten('', before);
-  const right = flatten('', after);
+  const left = flattenValues('', before);
+  const right = flattenValues('', after);
   const paths = [...new Set([...left.keys(), ...right.keys()])];
   return paths
     .filter((path) => left.get(path) !== right.get(path))
@@ -73,8 +73,8 @@
     );
 }
 
-/** Paths and JSON texts of the values inside; an array counts as one value. */
-function flatten(path: string, value: unknown): Map<string, string> {
+/** Maps the path of each nested value to its JSON text; an array counts as one value. */
+function flattenValues(path: string, value: unknown): Map<string, string> {
   if (value === undefined) {
     return new Map();
   }
@@ -82,7 +82,7 @@
     return new Map([[path, JSON.stringify(value)]]);
   }
   const entries = Object.entries(value).flatMap(([key, inner]) => [
-    ...flatten(path === '' ? key : `${path}.${key}`, inner),
+    ...flattenValues(path === '' ? key : `${path}.${key}`, inner),
   ]);
   return new Map(entries);
 }
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -1,4 +1,4 @@
-export { crossCheck, type CrossFinding } from './cross-checks.js';
+export { crossCheck, type CrossCheckFinding } from './cross-checks.js';
 export { describeDifferences, summarizeDifferences } from './diff.js';
 export {
   checkConfiguration,
--- a/src/configuration/parse.ts
+++ b/src/configuration/parse.ts
@@ -8,13 +8,13 @@
 /** A problem of a configuration document. */
 export type ConfigurationProblem = DocumentProblem;
 
-/** A configuration that passes its checks, and what may not be meant as it stands. */
+/** A valid configuration, with warnings about parts that may not be intended. */
 export interface CheckedConfiguration {
   readonly configuration: Configuration;
   readonly warnings: readonly ConfigurationProblem[];
 }
 
-/** Reads and checks a configuration document, JSON with comments. */
+/** Parses and validates a configuration document (JSON with comments). */
 export function parseConfiguration(
   text: string,
   fileName: string,
@@ -22,7 +22,7 @@
   return checkConfiguration(text, fileName).map((checked) => checked.configuration);
 }
 
-/** Like `parseConfiguration`, with warnings for a document that passes. */
+/** Like `parseConfiguration`, but also returns the warnings for a valid document. */
 export function checkConfiguration(
   text: string,
   fileName: string,
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -2,7 +2,7 @@
 
 import type { Configuration } from '../model/index.js';
 
-/** The checks of a configuration document; `parse.ts` adds line and column to what fails here. */
+/** Schema of a configuration document; `parse.ts` adds line and column to its findings. */
 
 const name = z
   .string()
@@ -13,7 +13,7 @@
 const labels = z.record(z.string(), z.string()).readonly();
 const selector = z.record(z.string(), z.array(z.string()).min(1).readonly()).readonly();
 
-const reach = z
+const accessPolicy = z
   .strictObject({
     accounts: selector,
     services: z.array(name).readonly().default([]),
@@ -35,7 +35,7 @@
     replicaSize: z.int().min(1).max(64),
     replicas: z.int().min(0).optional().transform(keepUndefined),
     carries: artifact,
-    reachableBy: reach,
+    reachableBy: accessPolicy,
   })
   .readonly();
 
@@ -43,7 +43,7 @@
   .strictObject({
     name,
     hosts: selector,
-    reachableBy: reach,
+    reachableBy: accessPolicy,
     nonIdempotentByDefault: z.boolean().default(false),
     concurrency: z.int().min(1).max(10_000).default(16),
   })
@@ -89,7 +89,7 @@
   })
   .readonly();
 
-/** A whole configuration document. */
+/** Schema of a complete configuration document. */
 export const configurationSchema = z
   .strictObject({
     groups: z.array(groupDeclaration).readonly().default([]),
@@ -109,7 +109,7 @@
 /** The configuration in force before the first change. */
 export const emptyConfiguration: Configuration = configurationSchema.parse({});
 
-/** Keeps the key with the value undefined, so that the type needs no optional properties. */
+/** Keeps the key, with the value undefined, so that the output type has no optional properties. */
 function keepUndefined<Value>(value: Value | undefined): Value | undefined {
   return value;
 }
--- a/src/settings/check.ts
+++ b/src/settings/check.ts
@@ -1,14 +1,14 @@
 import { z } from 'zod';
 
-/** Turns what a schema finds into messages that say what was expected. */
+/** Converts schema issues into messages that state what was expected. */
 
-/** One finding of a schema. */
+/** A violation of a schema. */
 export interface SchemaFinding {
   readonly path: readonly PropertyKey[];
   readonly message: string;
 }
 
-/** All findings of the schema for the value. */
+/** Describes all schema violations of the value. */
 export function describeIssues(
   schema: z.ZodType,
   value: unknown,
@@ -43,9 +43,9 @@
   );
 }
 
-/** Names that the schema knows at a path. */
+/** Property names that the schema allows at a path. */
 function listNames(schema: z.core.$ZodType, path: readonly PropertyKey[]): readonly string[] {
-  const inner = unwrap(schema);
+  const inner = unwrapSchema(schema);
   const [first, ...rest] = path;
   if (inner instanceof z.ZodObject) {
     const shape = inner.shape as Readonly<Record<PropertyKey, z.core.$ZodType>>;
@@ -58,10 +58,10 @@
   return [];
 }
 
-/** The schema inside wrappers for read-only, default and optional values. */
-function unwrap(schema: z.core.$ZodType): z.core.$ZodType {
+/** Removes the wrappers for read-only, default, optional and transformed values. */
+function unwrapSchema(schema: z.core.$ZodType): z.core.$ZodType {
   if (schema instanceof z.ZodPipe) {
-    return unwrap(schema.in);
+    return unwrapSchema(schema.in);
   }
   if (
     schema instanceof z.ZodReadonly ||
@@ -69,7 +69,7 @@
     schema instanceof z.ZodPrefault ||
     schema instanceof z.ZodOptional
   ) {
-    return unwrap(schema.unwrap());
+    return unwrapSchema(schema.unwrap());
   }
   return schema;
 }
--- a/src/settings/command-line.ts
+++ b/src/settings/command-line.ts
@@ -2,15 +2,15 @@
 
 import { parseOverride, type SettingsOverride } from './override.js';
 
-/** Flags that every process of the system takes. */
+/** Command-line flags that every process of the system accepts. */
 export interface ProcessFlags {
   readonly settings: string;
   readonly set: readonly SettingsOverride[];
-  /** Check the settings and end. */
+  /** Validate the settings and exit. */
   readonly check: boolean;
 }
 
-/** Reads the flags of a process; prints help or what is wrong and exits where there is nothing to run. */
+/** Parses the command-line flags of a process. Prints help or an error and exits if there is nothing to run. */
 export function readProcessFlags(
   name: string,
   description: string,
--- a/src/settings/common-settings.ts
+++ b/src/settings/common-settings.ts
@@ -3,22 +3,22 @@
 import { formatAddress, splitAddress } from '../common/index.js';
 import { listenAddress, reachableAddress } from './address.js';
 
-/** Settings that several processes share. */
+/** Settings shared by several processes. */
 
-/** Names of hosts, regions and domains. */
-export const placeName = z
+/** Names of hosts, processes, regions and domains. */
+export const nameSchema = z
   .string()
   .regex(
     /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/,
     'expected letters, digits, dots and hyphens, 63 at most',
   );
 
-/** The control hosts that a process may ask, in order of preference. */
+/** Addresses of the control hosts that a process may use, in order of preference. */
 export const controlAddresses = z.array(reachableAddress).min(1).readonly();
 
 /**
- * Control hosts that are known by an address of another of their listeners: the IP number of each, at the port on which control
- * hosts serve processes of the system. The IP number is also the name of such a control host.
+ * Control hosts given by the address of another of their listeners. Only the IP address is taken from it; `port` is the port on
+ * which control hosts serve processes of the system. The IP address is also the name of such a control host.
  */
 export const requiredSeedSettings = z
   .strictObject({
@@ -29,8 +29,8 @@
 
 export const seedSettings = requiredSeedSettings.optional();
 
-/** Control hosts that the seeds stand for; the same one named twice stands once. */
-export function listSeeds(
+/** Lists the control hosts that the seeds refer to, without duplicates. */
+export function listSeedHosts(
   seeds: z.infer<typeof seedSettings>,
 ): readonly { readonly name: string; readonly address: string }[] {
   const hosts = (seeds?.addresses ?? []).map((address) => splitAddress(address).host);
@@ -39,11 +39,11 @@
   });
 }
 
-/** Adds the addresses of the control hosts that the seeds of these settings stand for. */
+/** Adds the addresses of the control hosts that the seeds refer to. */
 export function addControlAddresses<
   Settings extends { readonly seeds: z.infer<typeof requiredSeedSettings> },
 >(settings: Settings): Settings & { readonly control: readonly string[] } {
-  return { ...settings, control: listSeeds(settings.seeds).map(({ address }) => address) };
+  return { ...settings, control: listSeedHosts(settings.seeds).map(({ address }) => address) };
 }
 
 export const logSettings = z
@@ -53,7 +53,7 @@
   .readonly()
   .prefault({});
 
-/** Where metrics are sent, by UDP in the format of StatsD; undefined for nowhere. */
+/** Address to which metrics are sent over UDP in the StatsD format; undefined to send none. */
 export const metricsSettings = z
   .strictObject({
     host: z.union([z.ipv4(), z.ipv6()], 'expected an IP number'),
@@ -63,15 +63,15 @@
   .optional()
   .transform((settings) => settings);
 
-/** Where metrics are served as text; undefined for nowhere. */
+/** Address on which metrics are served as text; undefined to serve none. */
 export const metricsPageSettings = listenAddress.optional();
 
-/** How a process stops. */
+/** Settings for the graceful shutdown of a process. */
 export const shutdownSettings = z
   .strictObject({
-    /** Time during which the process still takes work after it has said that it is leaving. */
+    /** Time for which the process still accepts work after it has announced that it is leaving. */
     graceMilliseconds: z.int().min(0).max(600_000).default(2000),
-    /** Time after which what is still in flight is ended with an error. */
+    /** Time after which requests still in flight are aborted with an error. */
     hardLimitMilliseconds: z.int().min(0).max(3_600_000).default(600_000),
   })
   .readonly()
--- a/src/settings/control-settings.ts
+++ b/src/settings/control-settings.ts
@@ -6,23 +6,23 @@
 
 import { reachableAddress } from './address.js';
 import {
-  listSeeds,
+  listSeedHosts,
   logSettings,
   metricsPageSettings,
   metricsSettings,
-  placeName,
+  nameSchema,
   seedSettings,
   shutdownSettings,
 } from './common-settings.js';
 
-const highestVoterCount = 7;
-const mostToleratedLosses = (highestVoterCount - 1) / 2;
+const maximumVoterCount = 7;
+const maximumToleratedLosses = (maximumVoterCount - 1) / 2;
 
-const voter = z.strictObject({ name: placeName, address: reachableAddress }).readonly();
+const voter = z.strictObject({ name: nameSchema, address: reachableAddress }).readonly();
 
 const voters = z
   .array(voter)
-  .max(highestVoterCount)
+  .max(maximumVoterCount)
   .readonly()
   .superRefine((list, context) => {
     list.forEach((candidate, index) => {
@@ -36,18 +36,18 @@
     });
   });
 
-/** Times of the replicated log; the defaults suit domains that are a few milliseconds apart. */
+/** Timeouts of the replicated log. The defaults suit failure domains with a latency of a few milliseconds between them. */
 const timeouts = z
   .strictObject({
-    /** Between two signs of life from the leader. */
+    /** Interval between heartbeats of the leader. */
     heartbeatMilliseconds: z.int().min(10).max(10_000).default(250),
-    /** Shortest silence of the leader before an election; the longest is twice that. */
+    /** Minimum election timeout: time without a heartbeat of the leader before an election. The maximum is twice as long. */
     electionMilliseconds: z.int().min(50).max(60_000).default(1000),
-    /** Longest wait for a change to be committed before its submitter is told that it is uncertain. */
+    /** Longest wait for a change to be committed; after it, the submitter is told that the outcome is uncertain. */
     commitMilliseconds: z.int().min(100).max(60_000).default(5000),
-    /** Between two signs of life on a quiet watch. */
+    /** Interval between heartbeats on an idle watch stream. */
     watchHeartbeatMilliseconds: z.int().min(100).max(60_000).default(1000),
-    /** An instance that announced itself and is not heard of for this long gets no new requests. */
+    /** An announced instance that has not reported for this long gets no new requests. */
     instanceSilenceMilliseconds: z.int().min(100).max(600_000).default(5000),
   })
   .readonly()
@@ -61,18 +61,18 @@
 export const controlSettingsSchema = z
   .strictObject({
     /** Unique among control hosts. */
-    name: placeName,
-    region: placeName,
-    failureDomain: placeName,
+    name: nameSchema,
+    region: nameSchema,
+    failureDomain: nameSchema,
     listen: reachableAddress,
-    /** The voters that a first start forms from, this host included; later ones are in the log. */
+    /** Initial voters of a new cluster, including this host. Later changes of the voters are in the log. */
     voters: voters.default([]),
-    /** Voters of a first start that are known by the addresses of another listener. */
+    /** Initial voters given by the addresses of another listener. */
     seeds: seedSettings,
-    /** Folder for the log and the snapshots; relative to the folder in which the process is started. */
+    /** Folder for the log and snapshots, relative to the working directory of the process. */
     dataFolder: z.string().min(1),
-    /** Control hosts whose disks may be lost at once. Twice as many and one more have to vote, as soon as there are as many. */
-    toleratedLosses: z.int().min(0).max(mostToleratedLosses).default(1),
+    /** Number of control hosts whose disks may be lost at once. Requires 2n + 1 voters, as soon as there are enough control hosts. */
+    toleratedLosses: z.int().min(0).max(maximumToleratedLosses).default(1),
     timeouts,
     shutdown: shutdownSettings,
     log: logSettings,
@@ -86,10 +86,10 @@
   )
   .transform((settings) => ({
     ...settings,
-    voters: [...settings.voters, ...listSeeds(settings.seeds)],
+    voters: [...settings.voters, ...listSeedHosts(settings.seeds)],
   }));
 
-/** Voters that the log is to have; fewer are kept as they are. */
+/** Target number of voters of the log. Silent voters are removed only while there are more than this. */
 export function countWantedVoters({ voters: first, toleratedLosses }: ControlSettings): number {
   return Math.max(first.length, 2 * toleratedLosses + 1);
 }
@@ -97,8 +97,8 @@
 export type ControlSettings = z.infer<typeof controlSettingsSchema>;
 
 /**
- * Where a control host is reached: as the settings name it, or, where control hosts are known by seeds, at its IP number, which is
- * its name. So hosts that are taken in later are reached as well. Undefined for a name that says no address.
+ * Address of a control host: the one in the settings or, if control hosts are given by seeds, the IP address that is its name.
+ * This also finds hosts that join later. Undefined for a name from which no address follows.
  */
 export function findControlAddress(settings: ControlSettings, name: string): string | undefined {
   const voter = settings.voters.find((candidate) => candidate.name === name);
--- a/src/settings/engine-sidecar-settings.ts
+++ b/src/settings/engine-sidecar-settings.ts
@@ -5,17 +5,17 @@
   addControlAddresses,
   logSettings,
   metricsPageSettings,
-  placeName,
+  nameSchema,
   requiredSeedSettings,
 } from './common-settings.js';
 
-/** Settings of a sidecar whose engine holds the membership of its group itself. */
+/** Settings of a sidecar whose engine manages the membership of its group itself. */
 export const engineSidecarSettingsSchema = z
   .strictObject({
-    /** Name of the host, unique in the deployment. */
-    host: placeName,
-    failureDomain: placeName,
-    /** Where the engine beside it listens. */
+    /** Host name, unique in the deployment. */
+    host: nameSchema,
+    failureDomain: nameSchema,
+    /** Address on which the local engine listens. */
     engine: reachableAddress,
     /** Name of the service that the engine is an instance of. */
     service: z.string().min(1),
--- a/src/settings/gateway-settings.ts
+++ b/src/settings/gateway-settings.ts
@@ -5,20 +5,20 @@
   controlAddresses,
   logSettings,
   metricsSettings,
-  placeName,
+  nameSchema,
   shutdownSettings,
 } from './common-settings.js';
 
 const mebibyte = 1024 * 1024;
 
-/** Bounds on what one caller's request may take. */
+/** Limits for a single caller's request. */
 const limits = z
   .strictObject({
     maximumBodyBytes: z
       .int()
       .min(1)
       .default(4 * mebibyte),
-    /** Largest answer that is held before it is sent; streamed answers have no bound. */
+    /** Largest answer that is buffered before it is sent; streamed answers are not limited. */
     maximumAnswerBytes: z
       .int()
       .min(1)
@@ -32,12 +32,12 @@
 export const gatewaySettingsSchema = z
   .strictObject({
     /** Unique among gateways. */
-    name: placeName,
-    region: placeName,
-    failureDomain: placeName,
-    /** Where callers connect. */
+    name: nameSchema,
+    region: nameSchema,
+    failureDomain: nameSchema,
+    /** Address on which callers connect. */
     listen: listenAddress,
-    /** Where processes of the system connect. */
+    /** Address on which other processes of the system connect. */
     internal: reachableAddress,
     control: controlAddresses,
     limits,
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -9,15 +9,20 @@
 export { gatewaySettingsSchema, type GatewaySettings } from './gateway-settings.js';
 export { loadSettings, parseSettings, type SettingsProblem } from './load.js';
 export { parseOverride, type SettingsOverride } from './override.js';
-export { formatPath, formatProblem, type DocumentProblem, type ProblemPlace } from './problem.js';
+export {
+  formatPath,
+  formatProblem,
+  type DocumentProblem,
+  type ProblemLocation,
+} from './problem.js';
 export { sidecarSettingsSchema, type SidecarSettings } from './sidecar-settings.js';
 export { TextDocument } from './text-document.js';
 export {
   readProcessSettings,
   readSettingsOfFile,
-  type SettingsOfFile,
+  type SettingsWithFile,
 } from './process-settings.js';
-export { SettingsWatch, type SettingsWatchOptions } from './settings-watch.js';
+export { SettingsWatch, type SettingsWatcherOptions } from './settings-watch.js';
 export {
   engineSidecarSettingsSchema,
   type EngineSidecarSettings,
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -11,7 +11,7 @@
 /** A problem of a settings file or of a flag. */
 export type SettingsProblem = DocumentProblem;
 
-/** Reads and checks a settings file; values from flags go before those of the file. */
+/** Reads and validates a settings file; values from flags take precedence over the file. */
 export function loadSettings<Settings>(
   schema: z.ZodType<Settings>,
   filePath: string,
@@ -21,7 +21,7 @@
   return text.andThen((content) => parseSettings(schema, filePath, content, overrides));
 }
 
-/** Checks settings given as text. */
+/** Parses and validates settings given as text. */
 export function parseSettings<Settings>(
   schema: z.ZodType<Settings>,
   fileName: string,
@@ -52,14 +52,14 @@
   }
 }
 
-/** A value that a flag set is reported at the flag: the line in the file may well be right. */
+/** Reports the problem of a value set by a flag at the flag, because the line in the file may be correct. */
 function locate(
   document: TextDocument,
   overrides: readonly SettingsOverride[],
   finding: SchemaFinding,
 ): SettingsProblem {
   const path = formatPath(finding.path);
-  const override = overrides.findLast((candidate) => isInside(path, candidate.path));
+  const override = overrides.findLast((candidate) => isPathWithin(path, candidate.path));
   if (override === undefined) {
     return document.createProblem(finding.path, finding.message);
   }
@@ -67,6 +67,6 @@
   return { severity: 'error', place, path, message: finding.message };
 }
 
-function isInside(path: string, outer: string): boolean {
+function isPathWithin(path: string, outer: string): boolean {
   return path === outer || path.startsWith(`${outer}.`) || path.startsWith(`${outer}[`);
 }
--- a/src/settings/override.ts
+++ b/src/settings/override.ts
@@ -1,13 +1,13 @@
-/** Values from flags that go before those of the settings file. */
+/** Values from `--set` flags, which take precedence over the settings file. */
 
-/** One `--set path=value`. */
+/** One `--set path=value` flag. */
 export interface SettingsOverride {
-  /** Names joined by dots, such as `log.level`. */
+  /** Property names joined by dots, such as `log.level`. */
   readonly path: string;
   readonly value: unknown;
 }
 
-/** Reads `path=value`; the value is JSON where it is valid JSON, otherwise a string. Undefined without a path. */
+/** Parses `path=value`. The value is parsed as JSON if it is valid JSON, and is a string otherwise. Undefined without a path. */
 export function parseOverride(text: string): SettingsOverride | undefined {
   const equals = text.indexOf('=');
   if (equals < 1) {
@@ -16,7 +16,7 @@
   return { path: text.slice(0, equals), value: parseValue(text.slice(equals + 1)) };
 }
 
-/** The value with one part replaced; objects on the way are made where they are missing. */
+/** Returns a copy of the value with the override applied; creates missing objects along the path. */
 export function overrideValue(value: unknown, override: SettingsOverride): unknown {
   return replaceAt(value, override.path.split('.'), override.value);
 }
--- a/src/settings/problem.ts
+++ b/src/settings/problem.ts
@@ -1,34 +1,34 @@
-/** What is wrong with a settings file or a configuration document, and where. */
+/** Problems of settings files and configuration documents, with their locations. */
 
-/** Where the offending value stands. */
-export type ProblemPlace =
+/** Location of the invalid value. */
+export type ProblemLocation =
   | {
       readonly type: 'file';
       readonly file: string;
-      /** Counted from 1. */
+      /** 1-based. */
       readonly line: number;
-      /** Counted from 1, in UTF-16 units. */
+      /** 1-based, in UTF-16 code units. */
       readonly column: number;
     }
   | { readonly type: 'flag'; readonly flag: string };
 
-/** One thing that is wrong. */
+/** A problem in a settings file, a flag or a configuration document. */
 export interface DocumentProblem {
   readonly severity: 'error' | 'warning';
-  readonly place: ProblemPlace;
+  readonly place: ProblemLocation;
   /** Path of the value, such as `groups[0].replicaSize`; empty for the whole document. */
   readonly path: string;
   /** What is wrong and what was expected. */
   readonly message: string;
 }
 
-/** One line: `file:line:column: error: path: message`. */
+/** Formats a problem as one line: `file:line:column: error: path: message`. */
 export function formatProblem(problem: DocumentProblem): string {
   const subject = problem.path === '' ? '' : `${problem.path}: `;
-  return `${formatPlace(problem.place)}: ${problem.severity}: ${subject}${problem.message}`;
+  return `${formatLocation(problem.place)}: ${problem.severity}: ${subject}${problem.message}`;
 }
 
-function formatPlace(place: ProblemPlace): string {
+function formatLocation(place: ProblemLocation): string {
   switch (place.type) {
     case 'file':
       return `${place.file}:${place.line}:${place.column}`;
@@ -37,7 +37,7 @@
   }
 }
 
-/** Path in the usual notation: names joined by dots, numbers in brackets. */
+/** Formats a path with names joined by dots and indexes in brackets. */
 export function formatPath(path: readonly PropertyKey[]): string {
   return path
     .map((part) => (typeof part === 'number' ? `[${part}]` : `.${String(part)}`))
--- a/src/settings/process-settings.ts
+++ b/src/settings/process-settings.ts
@@ -4,16 +4,16 @@
 import { loadSettings } from './load.js';
 import { formatProblem } from './problem.js';
 
-/** Exit code of a process whose settings do not pass their checks. */
+/** Exit code of a process whose settings are invalid. */
 const invalidSettingsExitCode = 3;
 
-/** Settings of a process, and the file that they are from. */
-export interface SettingsOfFile<Settings> {
+/** The settings of a process and the file they were loaded from. */
+export interface SettingsWithFile<Settings> {
   readonly settings: Settings;
   readonly file: string;
 }
 
-/** Reads the flags and the settings of a process; prints what is wrong and exits where there is nothing to run. */
+/** Reads the flags and settings of a process. Prints the problems and exits if they are invalid; also exits after `--check`. */
 export function readProcessSettings<Settings>(
   name: string,
   description: string,
@@ -22,12 +22,12 @@
   return readSettingsOfFile(name, description, schema).settings;
 }
 
-/** The same, with the file, for processes that read it again. */
+/** Like `readProcessSettings`, but also returns the file, for processes that reload it. */
 export function readSettingsOfFile<Settings>(
   name: string,
   description: string,
   schema: z.ZodType<Settings>,
-): SettingsOfFile<Settings> {
+): SettingsWithFile<Settings> {
   const flags = readProcessFlags(name, description, process.argv);
   const loaded = loadSettings(schema, flags.settings, flags.set);
   if (loaded.err) {
--- a/src/settings/routing-gateway-settings.ts
+++ b/src/settings/routing-gateway-settings.ts
@@ -5,39 +5,39 @@
   addControlAddresses,
   logSettings,
   metricsPageSettings,
-  placeName,
+  nameSchema,
   requiredSeedSettings,
 } from './common-settings.js';
 
-/** Bounds that the operators promise their callers. */
+/** Limits that operators guarantee to their callers. */
 const bounds = z
   .strictObject({
     /**
-     * Longest time without word of a control host that is up to date, after which requests with a key are refused. It has to be
-     * shorter, by the age of that word, than the time in which a key that was taken away must stop working.
+     * Longest time without confirmation from an up-to-date control host; after it, requests with a key are refused. A revoked
+     * key must stop working within a certain time: this limit plus the age of the confirmation has to stay below that time.
      */
     vouchMilliseconds: z.int().min(100).max(600_000).default(2500),
-    /** Repeats allowed for each request, in the long run, over all gateways. */
+    /** Retry budget: sustained number of retries per request, over all gateways. */
     repeatShare: z.number().min(0).max(1).default(0.2),
-    /** Repeats that all gateways together may make beyond that share. */
+    /** Retry budget: burst of retries beyond that share, for all gateways together. */
     repeatBurst: z.number().min(0).default(100),
-    /** Gateways that share the connections of an instance, until control says how many there are. */
+    /** Assumed number of gateways that share the connections of an instance, until control reports the actual number. */
     gateways: z.int().min(1).default(8),
-    /** Time between a planned stop and the end of the process, in which requests are finished. */
+    /** Time between a planned stop and the exit of the process, for finishing requests in flight. */
     graceMilliseconds: z.int().min(0).max(600_000).default(8000),
   })
   .readonly()
   .prefault({});
 
-/** Settings of a gateway that sends requests straight to upstreams. */
+/** Settings of a gateway that sends requests directly to upstreams. */
 export const routingGatewaySettingsSchema = z
   .strictObject({
     /** Unique among gateways. */
-    name: placeName,
-    failureDomain: placeName,
-    /** Where callers connect. */
+    name: nameSchema,
+    failureDomain: nameSchema,
+    /** Address on which callers connect. */
     listen: listenAddress,
-    /** Where the load balancer before it asks whether it takes requests. */
+    /** Address for the readiness checks of the load balancer in front of the gateway. */
     readiness: listenAddress,
     /** The control hosts. */
     seeds: requiredSeedSettings,
--- a/src/settings/settings-watch.ts
+++ b/src/settings/settings-watch.ts
@@ -7,38 +7,37 @@
 import { loadSettings } from './load.js';
 import { formatProblem } from './problem.js';
 
-/** Notices that the settings file of a running process changed. */
+/** Reloads the settings file of a running process when it changes. */
 
-/** The file may change without a signal; a change that is noticed this much late harms nobody. */
+/** The file may change without a SIGHUP, so it is polled. A delay of this length before a change takes effect is harmless. */
 const pollInterval: Milliseconds = 5000;
 
-/** Options of the watch. */
-export interface SettingsWatchOptions<Settings> {
+export interface SettingsWatcherOptions<Settings> {
   readonly schema: z.ZodType<Settings>;
   readonly file: string;
-  /** Takes settings that pass their checks. */
+  /** Called with the new settings if they are valid. */
   readonly onChange: (settings: Settings) => void;
   readonly logger: Logger;
 }
 
 /**
- * Reads the settings again on SIGHUP, and when the file changed without it.
- * A process that does not handle SIGHUP is ended by it, with everything that it has under way. Settings that do not pass their
- * checks are logged and left: the process goes on with those it has.
+ * Reloads the settings on SIGHUP, and when polling finds that the file has changed.
+ * Without a handler, SIGHUP would terminate the process and lose its work in progress. Invalid settings are logged and ignored:
+ * the process continues with its current settings.
  */
 export class SettingsWatch<Settings> implements ManagedPart {
   readonly name = 'settings watch';
-  readonly #options: SettingsWatchOptions<Settings>;
+  readonly #options: SettingsWatcherOptions<Settings>;
   readonly #onSignal = (): void => {
     this.#read('SIGHUP');
   };
   #text: string | undefined;
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(options: SettingsWatchOptions<Settings>) {
+  constructor(options: SettingsWatcherOptions<Settings>) {
     this.#options = options;
     this.#text = this.#readText();
-    // From now on, not from `open`: the signal may come while the process still starts.
+    // Registered here rather than in `open`, because the signal may arrive while the process is still starting.
     process.on('SIGHUP', this.#onSignal);
   }
 
@@ -50,7 +49,7 @@
     }, pollInterval);
   }
 
-  /** Goes on taking the signal: a process that is stopping must not be ended by it. */
+  /** Keeps the SIGHUP handler, so that the signal cannot terminate a process that is shutting down. */
   close(): void {
     clearInterval(this.#timer);
   }
@@ -70,7 +69,7 @@
     onChange(loaded.val);
   }
 
-  /** Undefined where the file cannot be read now; it may be on its way to its place. */
+  /** Returns undefined if the file cannot be read; it may be in the middle of being replaced. */
   #readText(): string | undefined {
     try {
       return readFileSync(this.#options.file, 'utf8');
--- a/src/settings/sidecar-settings.ts
+++ b/src/settings/sidecar-settings.ts
@@ -5,29 +5,29 @@
   controlAddresses,
   logSettings,
   metricsSettings,
-  placeName,
+  nameSchema,
   shutdownSettings,
 } from './common-settings.js';
 
 /** Settings of pistachiospoke-sidecar. */
 export const sidecarSettingsSchema = z
   .strictObject({
-    /** Name of the host, unique in the deployment. */
-    host: placeName,
-    region: placeName,
-    failureDomain: placeName,
-    fabricDomain: placeName,
+    /** Host name, unique in the deployment. */
+    host: nameSchema,
+    region: nameSchema,
+    failureDomain: nameSchema,
+    fabricDomain: nameSchema,
     accelerators: z.int().min(0).default(0),
-    /** Labels of the host; those that operators set go before them. */
+    /** Labels of the host; labels set by operators take precedence. */
     labels: z.record(z.string(), z.string()).readonly().default({}),
-    /** Where the rest of the system connects. */
+    /** Address on which other processes of the system connect. */
     listen: reachableAddress,
-    /** Where the upstream beside it announces itself. */
+    /** Address on which the local upstream announces itself. */
     announce: listenAddress,
     control: controlAddresses,
-    /** Whether the upstream itself refuses an order with an old fencing number. */
+    /** Whether the upstream itself rejects orders with an outdated fencing number. */
     upstreamChecksFencingNumber: z.boolean().default(false),
-    /** Attempts that its upstream takes at a time. */
+    /** Number of attempts that the upstream accepts concurrently. */
     concurrency: z.int().min(1).max(10_000).default(16),
     shutdown: shutdownSettings,
     log: logSettings,
--- a/src/settings/text-document.ts
+++ b/src/settings/text-document.ts
@@ -7,9 +7,9 @@
   type ParseError,
 } from 'jsonc-parser';
 
-import { formatPath, type DocumentProblem, type ProblemPlace } from './problem.js';
+import { formatPath, type DocumentProblem, type ProblemLocation } from './problem.js';
 
-/** JSON with comments as text: its value, and the line and column of every part of it. */
+/** A JSON-with-comments document: gives its value, and the line and column of every part. */
 export class TextDocument {
   readonly #file: string;
   readonly #text: string;
@@ -24,12 +24,12 @@
     this.#errors = errors;
   }
 
-  /** The value; meaningful only when there are no syntax problems. */
+  /** The parsed value; only meaningful if there are no syntax problems. */
   readValue(): unknown {
     return this.#root === undefined ? undefined : (getNodeValue(this.#root) as unknown);
   }
 
-  /** What is no JSON, and names that stand twice in one object: the parser would silently take the last of them. */
+  /** Finds invalid JSON, and duplicate names in one object, of which the parser would silently use the last. */
   findSyntaxProblems(): readonly DocumentProblem[] {
     if (this.#text.trim() === '') {
       return [this.createProblem([], 'the file is empty')];
@@ -38,7 +38,7 @@
       const message = `not valid JSON: ${printParseErrorCode(error.error)}`;
       return { severity: 'error', place: this.#locateOffset(error.offset), path: '', message };
     });
-    return [...syntax, ...this.#findRepeatedNames(this.#root, [])];
+    return [...syntax, ...this.#findDuplicateNames(this.#root, [])];
   }
 
   createProblem(
@@ -49,38 +49,38 @@
     return { severity, place: this.#locate(path), path: formatPath(path), message };
   }
 
-  /** Place of the value; for one that is missing, of the nearest part around it. */
-  #locate(path: readonly PropertyKey[]): ProblemPlace {
+  /** Location of the value; if it is missing, of its nearest existing ancestor. */
+  #locate(path: readonly PropertyKey[]): ProblemLocation {
     for (let length = path.length; length > 0; length -= 1) {
       const segments = path.slice(0, length).map(toSegment);
       const node = this.#root && findNodeAtLocation(this.#root, segments);
       if (node !== undefined) {
-        return this.#locateOffset(startOf(node));
+        return this.#locateOffset(findStartOffset(node));
       }
     }
     return this.#locateOffset(this.#root?.offset ?? 0);
   }
 
-  #locateOffset(offset: number): ProblemPlace {
+  #locateOffset(offset: number): ProblemLocation {
     const before = this.#text.slice(0, offset);
     const line = before.split('\n').length;
     const column = offset - (before.lastIndexOf('\n') + 1) + 1;
     return { type: 'file', file: this.#file, line, column };
   }
 
-  #findRepeatedNames(
+  #findDuplicateNames(
     node: Node | undefined,
     path: readonly PropertyKey[],
   ): readonly DocumentProblem[] {
     const children = node?.children ?? [];
     if (node?.type === 'array') {
-      return children.flatMap((child, index) => this.#findRepeatedNames(child, [...path, index]));
+      return children.flatMap((child, index) => this.#findDuplicateNames(child, [...path, index]));
     }
     const seen = new Set<string>();
     return children.flatMap((property) => {
       const [nameNode, valueNode] = property.children ?? [];
       const name = String(nameNode?.value);
-      const inner = this.#findRepeatedNames(valueNode, [...path, name]);
+      const inner = this.#findDuplicateNames(valueNode, [...path, name]);
       if (!seen.has(name)) {
         seen.add(name);
         return inner;
@@ -95,8 +95,8 @@
   }
 }
 
-/** A named value is found by its name, so that an unknown name is pointed at, not what it holds. */
-function startOf(node: Node): number {
+/** For a property, the offset of its name rather than of its value, so that a problem with an unknown name points at the name. */
+function findStartOffset(node: Node): number {
   return node.parent?.type === 'property' ? node.parent.offset : node.offset;
 }
 
