--- a/__tests__/common/bounded-log.test.ts
+++ b/__tests__/common/rate-limited-log.test.ts
@@ -1,7 +1,7 @@
 import { pino } from 'pino';
 import { describe, expect, it } from 'vitest';
 
-import { BoundedLog } from '../../src/common/index.js';
+import { RateLimitedLog } from '../../src/common/index.js';
 
 interface Line {
   readonly msg: string;
@@ -14,7 +14,7 @@
   const logger = pino({}, { write: (text: string) => lines.push(JSON.parse(text) as Line) });
   const clock = { now: 0 };
   const limits = { burst: 200, perSecond: 50 };
-  const log = new BoundedLog(logger, { monotonic: () => clock.now, wall: () => 0 }, limits);
+  const log = new RateLimitedLog(logger, { monotonic: () => clock.now, wall: () => 0 }, limits);
   return { lines, clock, log };
 }
 
@@ -22,11 +22,11 @@
   it('limits a burst and reports the number of suppressed lines', () => {
     const { lines, clock, log } = createLog();
     for (let index = 0; index < 1000; index += 1) {
-      log.note({ requestId: `r-${index}` }, 'request ended');
+      log.info({ requestId: `r-${index}` }, 'request ended');
     }
     expect(lines).toHaveLength(200);
     clock.now = 1000;
-    log.note({ requestId: 'later' }, 'request ended');
+    log.info({ requestId: 'later' }, 'request ended');
     expect(lines.at(-1)).toMatchObject({ requestId: 'later', leftOut: 800 });
   });
 
@@ -34,7 +34,7 @@
     const { lines, clock, log } = createLog();
     for (let index = 0; index < 400; index += 1) {
       clock.now += 20;
-      log.note({ requestId: `r-${index}` }, 'request ended');
+      log.info({ requestId: `r-${index}` }, 'request ended');
     }
     expect(lines).toHaveLength(400);
     expect(lines.every(({ leftOut }) => leftOut === undefined)).toBe(true);
--- a/__tests__/direct/crash-watch.test.ts
+++ b/__tests__/direct/crash-watch.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { BoundedLog, createLogger, systemClock } from '../../src/common/index.js';
+import { RateLimitedLog, createLogger, systemClock } from '../../src/common/index.js';
 import {
   CrashLedger,
   CrashWatch,
@@ -31,8 +31,8 @@
   } {
     const lines: string[] = [];
     const logger = createLogger('test', 'silent');
-    const log = new BoundedLog(logger, systemClock, { burst: 10, perSecond: 10 });
-    log.note = (fields) => lines.push(JSON.stringify(fields));
+    const log = new RateLimitedLog(logger, systemClock, { burst: 10, perSecond: 10 });
+    log.info = (fields) => lines.push(JSON.stringify(fields));
     const probe = () => Promise.resolve(verdicts.shift() ?? 'unanswered');
     const ledger = new CrashLedger();
     return { watch: new CrashWatch({ probe, ledger, clock: systemClock, log }), ledger, lines };
--- a/__tests__/platform/test-engine.ts
+++ b/__tests__/platform/test-engine.ts
@@ -30,7 +30,7 @@
   readonly #initialId: string;
   #startCount = 1;
   /** Descriptions of the join orders received while the engine's current group was open. */
-  readonly splits: string[] = [];
+  readonly joinsWhileOpen: string[] = [];
   /** Attempt ids of the requests that the engine began to run. */
   readonly runs: string[] = [];
   /** Attempt ids of the requests that crashed this engine. */
@@ -181,7 +181,9 @@
       return 412;
     }
     if (this.#group?.state === 'open') {
-      this.splits.push(`${this.id} leaves ${this.#group.name} open for ${order.group ?? ''}`);
+      this.joinsWhileOpen.push(
+        `${this.id} leaves ${this.#group.name} open for ${order.group ?? ''}`,
+      );
     }
     const { group = '', epoch = 0, peers = [] } = order;
     this.#group = { name: group, epoch, peers, state: 'joining' };
--- a/__tests__/processes/platform-path.test.ts
+++ b/__tests__/processes/platform-path.test.ts
@@ -73,7 +73,7 @@
     const answer = await running;
     expect(answer.isWhole).toBe(true);
     expect(listIdentifiers(answer.body)).toEqual(allIdentifiers);
-    expect(deployment.engines.flatMap(({ splits }) => splits)).toEqual([]);
+    expect(deployment.engines.flatMap(({ joinsWhileOpen }) => joinsWhileOpen)).toEqual([]);
   });
 
   /**
--- a/__tests__/processes/platform-sidecar-restart.test.ts
+++ b/__tests__/processes/platform-sidecar-restart.test.ts
@@ -43,7 +43,7 @@
       head.reportDelay = 0;
     }
     expect((await deployment.stream('r-after')).status).toBe(200);
-    expect(deployment.engines.flatMap(({ splits }) => splits)).toEqual([]);
+    expect(deployment.engines.flatMap(({ joinsWhileOpen }) => joinsWhileOpen)).toEqual([]);
     expect(findHeads().map(({ id, peers }) => ({ id, peers }))).toEqual(before);
   });
 });
--- a/src/common/address.ts
+++ b/src/common/address.ts
@@ -20,7 +20,7 @@
  * Like `parseAddress`, for an address that was validated on input: throws if it is invalid.
  * Accepts port 0, with which a server listens on any free port.
  */
-export function splitAddress(text: string): SocketAddress {
+export function parseAddressOrThrow(text: string): SocketAddress {
   const address = readAddress(text);
   if (address === undefined) {
     throw new TypeError(`invalid address, expected ip:port: ${text}`);
--- a/src/common/http-server.ts
+++ b/src/common/http-server.ts
@@ -1,14 +1,14 @@
 import type { Server } from 'node:http';
 import type { Http2Server } from 'node:http2';
 
-import { splitAddress } from './address.js';
+import { parseAddressOrThrow } from './address.js';
 import { createFailure, FailureError } from './failure.js';
 
 /** Promise-based opening and closing of HTTP servers, for the I/O shells. */
 
 /** Listens on `ip:port`. Rejects with a FailureError (`addressInUse`) if the address is already in use. */
 export function openServer(server: Server | Http2Server, address: string): Promise<void> {
-  const { host, port } = splitAddress(address);
+  const { host, port } = parseAddressOrThrow(address);
   return new Promise((resolve, reject) => {
     server.once('error', (error: NodeJS.ErrnoException) => {
       const isInUse = error.code === 'EADDRINUSE';
--- a/src/common/index.ts
+++ b/src/common/index.ts
@@ -1,4 +1,4 @@
-export { formatAddress, parseAddress, splitAddress, type SocketAddress } from './address.js';
+export { formatAddress, parseAddress, parseAddressOrThrow, type SocketAddress } from './address.js';
 export { Blackboard } from './blackboard.js';
 export { assertNever, type Controller } from './controller.js';
 export {
@@ -31,7 +31,7 @@
 export { pause } from './pause.js';
 export { closeServer, openServer } from './http-server.js';
 export { createMetricsPage } from './metrics-page.js';
-export { BoundedLog } from './bounded-log.js';
-export { LogRateLimiter, type LogRateLimits } from './line-budget.js';
+export { RateLimitedLog } from './rate-limited-log.js';
+export { LogRateLimiter, type LogRateLimits } from './log-rate-limiter.js';
 export { digest } from './digest.js';
 export { parseJson } from './json.js';
--- a/src/common/bounded-log.ts
+++ b/src/common/rate-limited-log.ts
@@ -1,10 +1,10 @@
 import type { Logger } from 'pino';
 
-import { LogRateLimiter, type LogRateLimits } from './line-budget.js';
+import { LogRateLimiter, type LogRateLimits } from './log-rate-limiter.js';
 import type { Clock } from './time.js';
 
 /** Writes log lines of one kind at a limited rate. */
-export class BoundedLog {
+export class RateLimitedLog {
   readonly #logger: Logger;
   readonly #clock: Clock;
   readonly #limiter: LogRateLimiter;
@@ -16,7 +16,7 @@
   }
 
   /** Logs at level info, or counts the line as suppressed. The next line written reports the count as `leftOut`. */
-  note(fields: object, message: string): void {
+  info(fields: object, message: string): void {
     if (!this.#limiter.tryTake(this.#clock.monotonic())) {
       return;
     }
--- a/src/control/routing/routing-control.ts
+++ b/src/control/routing/routing-control.ts
@@ -5,7 +5,7 @@
 import { Counter, type Registry } from 'prom-client';
 
 import {
-  BoundedLog,
+  RateLimitedLog,
   createFailure,
   encodeOutcome,
   parseJson,
@@ -88,14 +88,14 @@
   readonly #reports: EngineReportService;
   readonly #leaderClient: LeaderClient;
   readonly #engines: EngineLoop;
-  readonly #unusableLog: BoundedLog;
+  readonly #unusableLog: RateLimitedLog;
   readonly #unusableCount: Counter;
   #timer: NodeJS.Timeout | undefined;
   #leader = '';
 
   constructor(options: RoutingControlOptions) {
     this.#options = options;
-    this.#unusableLog = new BoundedLog(options.logger, options.clock, unusableLogLimit);
+    this.#unusableLog = new RateLimitedLog(options.logger, options.clock, unusableLogLimit);
     this.#unusableCount = new Counter({
       name: 'pistachiospoke_announcements_unusable_total',
       help: 'Announcements that named no instance to use and changed nothing.',
@@ -225,7 +225,7 @@
       reason,
       text: text.slice(0, maxLoggedCharacters),
     };
-    this.#unusableLog.note(fields, 'unusable announcement');
+    this.#unusableLog.info(fields, 'unusable announcement');
     return createFailure('unusableAnnouncement', reason);
   }
 
--- a/src/gateway/direct/crash-watch.ts
+++ b/src/gateway/direct/crash-watch.ts
@@ -1,4 +1,4 @@
-import { pause, type BoundedLog, type Clock, type Milliseconds } from '../../common/index.js';
+import { pause, type RateLimitedLog, type Clock, type Milliseconds } from '../../common/index.js';
 import { formatIdentity } from '../../routing/index.js';
 import type { CrashLedger } from './crash-ledger.js';
 import type { Target } from './target.js';
@@ -14,7 +14,7 @@
   readonly probe: (address: string) => Promise<ProbeVerdict>;
   readonly ledger: CrashLedger;
   readonly clock: Clock;
-  readonly log: BoundedLog;
+  readonly log: RateLimitedLog;
 }
 
 export class CrashWatch {
@@ -48,7 +48,7 @@
     if (verdict === 'refused') {
       this.#options.ledger.noteCrash(upstream, digests, this.#options.clock.monotonic());
     }
-    this.#options.log.note(
+    this.#options.log.info(
       { target: key, upstream, verdict, requests: [...digests] },
       'upstream probed after interrupted responses',
     );
--- a/src/gateway/direct/delivery-types.ts
+++ b/src/gateway/direct/delivery-types.ts
@@ -1,4 +1,4 @@
-import type { BoundedLog, Clock, Milliseconds } from '../../common/index.js';
+import type { RateLimitedLog, Clock, Milliseconds } from '../../common/index.js';
 import type { RoutedAccount, RoutedService, Route } from '../../routing/index.js';
 import type { CrashLedger } from './crash-ledger.js';
 import type { CrashWatch } from './crash-watch.js';
@@ -47,7 +47,7 @@
   readonly onCapacityChanged: () => void;
   readonly spendRetry: (service: string) => boolean;
   readonly clock: Clock;
-  readonly log: BoundedLog;
+  readonly log: RateLimitedLog;
 }
 
 /** How a delivery ended, for logs and metrics. */
--- a/src/gateway/direct/delivery.ts
+++ b/src/gateway/direct/delivery.ts
@@ -374,7 +374,7 @@
     const attempt = this.#controller.attemptCount;
     const after = Math.round(this.#now() - this.#request.startedAt);
     const fields = { requestId, route: route.name, target, attempt, after, ...details };
-    this.#dependencies.log.note(fields, message);
+    this.#dependencies.log.info(fields, message);
   }
 
   #measureRun(now: Milliseconds): Milliseconds | undefined {
--- a/src/gateway/direct/direct-gateway.ts
+++ b/src/gateway/direct/direct-gateway.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 
 import {
-  BoundedLog,
+  RateLimitedLog,
   closeServer,
   openServer,
   pause,
@@ -74,7 +74,7 @@
   readonly #dependencies: SharedDeliveryDependencies;
   readonly #deliveries = new Set<Delivery>();
   readonly #demand: DemandMeter;
-  readonly #log: BoundedLog;
+  readonly #log: RateLimitedLog;
   readonly #guard: DocumentGuard;
   readonly #stallWatch: StallWatch;
   /** Number of gateways that share the limits on retries and connections. */
@@ -87,7 +87,7 @@
   constructor(options: DirectGatewayOptions) {
     this.#options = options;
     const { settings, dialect, readView, clock, random, logger } = options;
-    this.#log = new BoundedLog(logger, clock, requestLogLimit);
+    this.#log = new RateLimitedLog(logger, clock, requestLogLimit);
     const { vouchMilliseconds } = settings.bounds;
     this.#guard = new DocumentGuard({ readView, clock, confirmationLifetime: vouchMilliseconds });
     const { repeatShare, repeatBurst, gateways } = settings.bounds;
@@ -281,7 +281,7 @@
 
   #refuse({ request, answer, facts: { requestId } }: InboundRequest, failure: Failure): void {
     const fields = { requestId, code: failure.code, path: request.url, ...this.#guard.describe() };
-    this.#log.note(fields, 'request refused');
+    this.#log.info(fields, 'request refused');
     this.#options.metrics.noteRefusal(failure.code);
     answer.fail(failure);
     request.resume();
@@ -347,7 +347,7 @@
         firstByte: outcome.firstByte === undefined ? null : Math.round(outcome.firstByte),
       };
       const { result, attempts, target } = outcome;
-      this.#log.note(
+      this.#log.info(
         { ...names, result, attempts, target, ...times, ...this.#guard.describe() },
         'request ended',
       );
--- a/src/gateway/direct/stall-watch.ts
+++ b/src/gateway/direct/stall-watch.ts
@@ -1,4 +1,4 @@
-import type { BoundedLog, Clock } from '../../common/index.js';
+import type { RateLimitedLog, Clock } from '../../common/index.js';
 import type { Delivery } from './delivery.js';
 import { StreamProgress } from './stream-progress.js';
 import type { TargetLoads } from './target-loads.js';
@@ -11,7 +11,7 @@
   /** Deliveries in flight. */
   readonly deliveries: ReadonlySet<Delivery>;
   readonly clock: Clock;
-  readonly log: BoundedLog;
+  readonly log: RateLimitedLog;
 }
 
 export class StallWatch {
@@ -53,7 +53,7 @@
   #logStalled(stalled: ReadonlySet<string>): void {
     for (const target of stalled) {
       if (!this.#stalled.has(target)) {
-        this.#options.log.note({ target }, 'target has stalled');
+        this.#options.log.info({ target }, 'target has stalled');
       }
     }
     this.#stalled = stalled;
--- a/src/gateway/direct/upstream-probe.ts
+++ b/src/gateway/direct/upstream-probe.ts
@@ -1,6 +1,6 @@
 import { Socket } from 'node:net';
 
-import { splitAddress, type Milliseconds } from '../../common/index.js';
+import { parseAddressOrThrow, type Milliseconds } from '../../common/index.js';
 
 /** Checks whether an upstream accepts TCP connections. */
 
@@ -28,6 +28,6 @@
     socket.on('error', (error: NodeJS.ErrnoException) => {
       finish(error.code === 'ECONNREFUSED' ? 'refused' : 'unanswered');
     });
-    socket.connect(splitAddress(address));
+    socket.connect(parseAddressOrThrow(address));
   });
 }
--- a/src/settings/common-settings.ts
+++ b/src/settings/common-settings.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-import { formatAddress, splitAddress } from '../common/index.js';
+import { formatAddress, parseAddressOrThrow } from '../common/index.js';
 import { listenAddress, reachableAddress } from './address.js';
 
 /** Settings shared by several processes. */
@@ -33,7 +33,7 @@
 export function listSeedHosts(
   seeds: z.infer<typeof seedSettings>,
 ): readonly { readonly name: string; readonly address: string }[] {
-  const hosts = (seeds?.addresses ?? []).map((address) => splitAddress(address).host);
+  const hosts = (seeds?.addresses ?? []).map((address) => parseAddressOrThrow(address).host);
   return [...new Set(hosts)].map((host) => {
     return { name: host, address: formatAddress(host, seeds?.port ?? 0) };
   });
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -19,10 +19,10 @@
 export { TextDocument } from './text-document.js';
 export {
   readProcessSettings,
-  readSettingsOfFile,
+  readSettingsWithFile,
   type SettingsWithFile,
 } from './process-settings.js';
-export { SettingsWatch, type SettingsWatcherOptions } from './settings-watch.js';
+export { SettingsWatcher, type SettingsWatcherOptions } from './settings-watcher.js';
 export {
   engineSidecarSettingsSchema,
   type EngineSidecarSettings,
--- a/src/settings/process-settings.ts
+++ b/src/settings/process-settings.ts
@@ -19,11 +19,11 @@
   description: string,
   schema: z.ZodType<Settings>,
 ): Settings {
-  return readSettingsOfFile(name, description, schema).settings;
+  return readSettingsWithFile(name, description, schema).settings;
 }
 
 /** Like `readProcessSettings`, but also returns the file, for processes that reload it. */
-export function readSettingsOfFile<Settings>(
+export function readSettingsWithFile<Settings>(
   name: string,
   description: string,
   schema: z.ZodType<Settings>,
--- a/src/settings/settings-watch.ts
+++ b/src/settings/settings-watcher.ts
@@ -25,7 +25,7 @@
  * Without a handler, SIGHUP would terminate the process and lose its work in progress. Invalid settings are logged and ignored:
  * the process continues with its current settings.
  */
-export class SettingsWatch<Settings> implements ManagedPart {
+export class SettingsWatcher<Settings> implements ManagedPart {
   readonly name = 'settings watch';
   readonly #options: SettingsWatcherOptions<Settings>;
   readonly #onSignal = (): void => {
--- a/src/sidecar/engine/engine-driver.ts
+++ b/src/sidecar/engine/engine-driver.ts
@@ -1,7 +1,7 @@
 import type { Logger } from 'pino';
 
 import {
-  BoundedLog,
+  RateLimitedLog,
   pause,
   type Clock,
   type ManagedPart,
@@ -52,8 +52,8 @@
   readonly #options: EngineDriverOptions;
   readonly #controller: EngineController;
   readonly #closing = new AbortController();
-  readonly #unreadableLog: BoundedLog;
-  readonly #unansweredLog: BoundedLog;
+  readonly #unreadableLog: RateLimitedLog;
+  readonly #unansweredLog: RateLimitedLog;
   #instance: KnownInstance | undefined;
   #waitAbort = new AbortController();
   #running: Promise<void> | undefined;
@@ -61,8 +61,8 @@
   constructor(options: EngineDriverOptions) {
     this.#options = options;
     this.#controller = new EngineController(options.host);
-    this.#unreadableLog = new BoundedLog(options.logger, options.clock, failureLogLimit);
-    this.#unansweredLog = new BoundedLog(options.logger, options.clock, failureLogLimit);
+    this.#unreadableLog = new RateLimitedLog(options.logger, options.clock, failureLogLimit);
+    this.#unansweredLog = new RateLimitedLog(options.logger, options.clock, failureLogLimit);
     options.port.onDisconnect(() => {
       this.#waitAbort.abort();
     });
@@ -164,10 +164,10 @@
         return this.#createReadEvent(answer);
       case 'unreadable':
         metrics.recordUnreadableAnswer();
-        this.#unreadableLog.note({ reason: answer.reason }, 'invalid status response from engine');
+        this.#unreadableLog.info({ reason: answer.reason }, 'invalid status response from engine');
         return { type: 'unreadable', now: clock.monotonic() };
       case 'unanswered':
-        this.#unansweredLog.note({ reason: answer.reason }, 'engine status request failed');
+        this.#unansweredLog.info({ reason: answer.reason }, 'engine status request failed');
         this.#instance = undefined;
         return { type: 'unanswered', now: clock.monotonic() };
       case 'refused':
@@ -179,7 +179,7 @@
   async #createReadEvent(status: EngineStatus): Promise<EngineEvent> {
     const instance = await this.#identify(status);
     if (instance === undefined) {
-      this.#unansweredLog.note({}, 'engine responds but its instance id could not be read');
+      this.#unansweredLog.info({}, 'engine responds but its instance id could not be read');
       return { type: 'notIdentified' };
     }
     const now = this.#options.clock.monotonic();
--- a/src/wire/rpc-client.ts
+++ b/src/wire/rpc-client.ts
@@ -11,7 +11,7 @@
 } from '@connectrpc/connect';
 import { createConnectTransport, Http2SessionManager } from '@connectrpc/connect-node';
 
-import { splitAddress, type Milliseconds } from '../common/index.js';
+import { parseAddressOrThrow, type Milliseconds } from '../common/index.js';
 import { compressionThreshold } from './compression.js';
 
 /** Connections to other processes of the system: one HTTP/2 session per address. */
@@ -95,7 +95,7 @@
 }
 
 function openSocket(address: string, sockets: Set<Socket>): Socket {
-  const { host, port } = splitAddress(address);
+  const { host, port } = parseAddressOrThrow(address);
   const socket = connect(port, host);
   sockets.add(socket);
   socket.once('close', () => sockets.delete(socket));
